--- a/include/trayrock/internal/cluster/cluster.h
+++ b/include/trayrock/internal/cluster/cluster.h
@@ -49,7 +49,7 @@
   // Called when this process judges another one gone.
   void on_gone(std::function<void(const wire::Peer&)> callback);
 
-  const configuration& config() const { return config_.whole(); }
+  const configuration& config() const { return config_.current(); }
   const shard_map_store& map() const { return map_; }
   const membership& members() const { return members_; }
   membership& members() { return members_; }
--- a/include/trayrock/internal/decide/cold_start.h
+++ b/include/trayrock/internal/decide/cold_start.h
@@ -22,14 +22,14 @@
 #include <string_view>
 
 #include "trayrock/internal/decide/endpoint_identity.h"
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 
 namespace trayrock {
 
 // What the operator says of a service's cold endpoints.
 struct cold_limit {
-  double requests_per_second = 0;      // of one endpoint; 0: no limit
-  std::chrono::milliseconds lasts{0};  // from a start on
+  double requests_per_second = 0;         // of one endpoint; 0: no limit
+  std::chrono::milliseconds duration{0};  // from a start on
 
   bool exists() const { return requests_per_second > 0; }
   bool operator==(const cold_limit&) const = default;
--- a/include/trayrock/internal/decide/whole_events.h
+++ b/include/trayrock/internal/decide/complete_event_buffer.h
@@ -23,7 +23,7 @@
 
 namespace trayrock {
 
-class whole_events {
+class complete_event_buffer {
  public:
   // Takes the next bytes of a run; returns the events that they complete, as
   // they came.
--- a/include/trayrock/internal/decide/configuration_proof.h
+++ b/include/trayrock/internal/decide/configuration_proof.h
@@ -41,18 +41,18 @@
 
   // The platform has answered a call that was sent then with this configuration
   // or an earlier one.
-  void shown(std::uint64_t sent_ms);
+  void on_platform_response(std::uint64_t sent_ms);
 
   // A gateway that was asked then, and holds no later configuration, has told
   // the age of its proof.
-  void told(std::uint64_t asked_ms, std::chrono::milliseconds age);
+  void on_peer_reply(std::uint64_t asked_ms, std::chrono::milliseconds age);
 
   // Whether what needs a key may be served.
-  bool holds(std::uint64_t now_ms) const;
+  bool is_valid(std::uint64_t now_ms) const;
 
   // Whether other gateways should be asked for a later proof: the own way to
   // the platform has brought none for a while.
-  bool is_ageing(std::uint64_t now_ms) const;
+  bool needs_refresh(std::uint64_t now_ms) const;
 
   // Nothing: there has been no proof yet.
   std::optional<std::chrono::milliseconds> age(std::uint64_t now_ms) const;
@@ -64,7 +64,7 @@
 
 // The longest wait of a watch for configurations, so that proofs come in time:
 // an answer proves only what was so when the watch was sent.
-std::chrono::milliseconds proving_wait(
+std::chrono::milliseconds max_watch_wait(
     std::optional<std::chrono::milliseconds> limit,
     std::chrono::milliseconds usual);
 
--- a/include/trayrock/internal/decide/copy_keeper.h
+++ b/include/trayrock/internal/decide/copy_buffer.h
@@ -17,11 +17,11 @@
 
 namespace trayrock {
 
-class copy_keeper {
+class copy_buffer {
  public:
   // `start` is the holder's own start; messages meant for another are
   // refused. `limit_bytes` bounds what all owners together may leave here.
-  copy_keeper(std::string start, std::size_t limit_bytes);
+  copy_buffer(std::string start, std::size_t limit_bytes);
 
   // Takes records. Failures: errc::wrong_start, errc::journal_sealed after a
   // claim, errc::copy_space_full.
--- a/include/trayrock/internal/decide/declarations.h
+++ b/include/trayrock/internal/decide/declarations.h
@@ -132,7 +132,7 @@
 class config_store {
  public:
   std::uint64_t generation() const { return whole_.generation; }
-  const configuration& whole() const { return whole_; }
+  const configuration& current() const { return whole_; }
 
   // What has changed after `since`, deletions included.
   wire::ConfigDelta delta(std::uint64_t since) const;
@@ -141,8 +141,8 @@
   // after it; anything else is ignored. True when something was taken.
   bool adopt(const wire::ConfigDelta& delta);
 
-  const std::map<std::pair<std::string, std::string>, wire::Declaration>& held()
-      const {
+  const std::map<std::pair<std::string, std::string>, wire::Declaration>&
+  declarations() const {
     return held_;
   }
 
--- a/include/trayrock/internal/decide/duration_book.h
+++ b/include/trayrock/internal/decide/duration_estimator.h
@@ -4,9 +4,9 @@
 // No I/O, no clock.
 //
 // Example:
-//   duration_book durations;
+//   duration_estimator durations;
 //   durations.add("chat", milliseconds(240));
-//   if (durations.needed("chat", stops_midway::yes) > time_left) refuse();
+//   if (durations.needed("chat", partial_delivery::yes) > time_left) refuse();
 #pragma once
 
 #include <array>
@@ -22,7 +22,7 @@
 // Whether an answer may have reached its client in part when time runs out. A
 // stream that is broken off is lost; a whole answer can be replaced by an
 // error.
-enum class stops_midway { no, yes };
+enum class partial_delivery { no, yes };
 
 // What the time that a route needs is estimated by: its last requests, or one
 // time for all routes.
@@ -32,11 +32,11 @@
 struct by_fixed_time {
   bool operator==(const by_fixed_time&) const = default;
 };
-using stop_estimate = std::variant<by_recent_requests, by_fixed_time>;
+using duration_source = std::variant<by_recent_requests, by_fixed_time>;
 
-class duration_book {
+class duration_estimator {
  public:
-  explicit duration_book(stop_estimate estimate = by_recent_requests{})
+  explicit duration_estimator(duration_source estimate = by_recent_requests{})
       : estimate_(estimate) {}
 
   // Expected of a route with too few samples. Of 52,000 requests on a busy
@@ -50,7 +50,7 @@
 
   // How much time has to be left for a request of the route to be begun.
   std::chrono::milliseconds needed(std::string_view route,
-                                   stops_midway kind) const;
+                                   partial_delivery kind) const;
 
  private:
   // The longest of 64 is about the 98th percentile.
@@ -64,13 +64,14 @@
 
   std::chrono::milliseconds needed_by(const by_recent_requests&,
                                       std::string_view route,
-                                      stops_midway kind) const;
+                                      partial_delivery kind) const;
   static std::chrono::milliseconds needed_by(const by_fixed_time&,
-                                             std::string_view, stops_midway) {
+                                             std::string_view,
+                                             partial_delivery) {
     return unknown;
   }
 
-  stop_estimate estimate_;
+  duration_source estimate_;
   std::map<std::string, samples, std::less<>> routes_;
 };
 
--- a/include/trayrock/internal/decide/endpoint_choice.h
+++ b/include/trayrock/internal/decide/endpoint_choice.h
@@ -49,21 +49,21 @@
   double unconnected_factor = default_unconnected_factor;
   double cold_factor = default_cold_factor;
   // What is equally loaded is drawn from; else the first one is taken.
-  bool draws_among_equals = true;
+  bool breaks_ties_randomly = true;
   // Latencies near the usual one count alike; else each counts by itself.
-  bool levels_latencies = true;
+  bool ignores_latency_noise = true;
 
   bool operator==(const choice_policy&) const = default;
 };
 
-struct endpoint_choice {
+struct endpoint_criteria {
   std::string_view service;
   endpoint_identity preferred;  // has the prompt in its cache; empty: none
   std::string_view data_centre;
   std::function<bool(const endpoint&)> connected;
   const std::set<endpoint_identity>* excluded = nullptr;
   // May run only once: not for endpoints on trial.
-  bool once = false;
+  bool at_most_once = false;
   // Draws among equals: any number, another one for each request.
   std::uint64_t draw = 0;
 };
@@ -71,7 +71,7 @@
 // Nothing if none of the service's endpoints may be sent to.
 endpoint_state_ptr choose_endpoint(
     std::span<const endpoint_state_ptr> of_service,
-    const endpoint_choice& wanted, const choice_policy& policy,
+    const endpoint_criteria& wanted, const choice_policy& policy,
     std::uint64_t now_ms);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/endpoint_health.h
+++ b/include/trayrock/internal/decide/endpoint_health.h
@@ -26,9 +26,9 @@
 // What an endpoint's health goes by, beside failures.
 struct health_policy {
   // One that refuses is left alone for a moment.
-  bool pauses_after_refusals = true;
+  bool backs_off_after_refusals = true;
   // One behind a pause is on trial until it has answered.
-  bool tries_behind_pauses = true;
+  bool has_probation_after_backoff = true;
 
   bool operator==(const health_policy&) const = default;
 };
@@ -40,26 +40,26 @@
 
   // A request of this gateway got no whole answer. True if the endpoint is
   // left alone from now on and was not before; likewise below.
-  bool failed(std::uint64_t now_ms);
+  bool record_failure(std::uint64_t now_ms);
 
   // A request of another gateway failed there.
-  bool reported(std::string_view gateway, std::uint64_t now_ms);
+  bool record_peer_failure(std::string_view gateway, std::uint64_t now_ms);
 
   // No connection could be made.
-  bool unreachable(std::uint64_t now_ms);
+  bool record_unreachable(std::uint64_t now_ms);
 
   // A request was refused, and not run.
-  bool refused(std::uint64_t now_ms);
+  bool record_refusal(std::uint64_t now_ms);
 
   // A request was answered.
-  void answered(std::uint64_t now_ms);
+  void record_response(std::uint64_t now_ms);
 
-  bool avoided(std::uint64_t now_ms) const {
+  bool is_in_backoff(std::uint64_t now_ms) const {
     return paused(now_ms) || refused_until_ms_ > now_ms;
   }
 
   // True behind a pause, while the endpoint has not answered.
-  bool on_trial(std::uint64_t now_ms) const;
+  bool is_on_probation(std::uint64_t now_ms) const;
 
  private:
   // Left alone for its failures.
--- a/include/trayrock/internal/decide/endpoint_state.h
+++ b/include/trayrock/internal/decide/endpoint_state.h
@@ -19,7 +19,7 @@
 
 // How an attempt at an endpoint ended.
 enum class attempt_outcome {
-  answered,
+  responded,
   refused,         // the endpoint says that it did not run the request
   other_instance,  // likewise, since it is not the one that was meant
   cancelled,       // the client went away first
@@ -52,11 +52,11 @@
   bool is_cold(std::uint64_t now_ms) const {
     return cold.exists() &&
            (cold_until_ms > now_ms || presumed_cold_until_ms > now_ms ||
-            health.on_trial(now_ms));
+            health.is_on_probation(now_ms));
   }
 
   // It is cold, and this gateway has no more requests for it in this second.
-  bool takes_no_more(std::uint64_t now_ms) const {
+  bool is_cold_limit_reached(std::uint64_t now_ms) const {
     return is_cold(now_ms) && sent.count(now_ms) >= cold_share;
   }
 };
--- a/include/trayrock/internal/decide/event_stream.h
+++ b/include/trayrock/internal/decide/event_stream.h
@@ -23,7 +23,7 @@
   void add(std::string_view bytes);
 
   // Events that have ended.
-  std::uint64_t whole_events() const { return whole_; }
+  std::uint64_t complete_events() const { return whole_; }
 
   // As above, with one more for an event that has begun.
   std::uint64_t started_events() const { return whole_ + (open_ ? 1 : 0); }
--- a/include/trayrock/internal/decide/contact_rule.h
+++ b/include/trayrock/internal/decide/isolation_detector.h
@@ -13,7 +13,7 @@
 // No I/O; the caller gives the time.
 //
 // Example:
-//   contact_rule contact;
+//   isolation_detector contact;
 //   contact.asked(now);  // a call to a store or peer was sent
 //   contact.heard();     // one of them answered
 //   contact.tick(now);   // about every tick_period_ms
@@ -24,17 +24,17 @@
 
 namespace trayrock {
 
-class contact_rule {
+class isolation_detector {
  public:
   static constexpr std::uint64_t tick_period_ms = 100;
 
-  void asked(std::uint64_t now_ms);
-  void heard();
+  void on_request_sent(std::uint64_t now_ms);
+  void on_reply();
   void tick(std::uint64_t now_ms);
 
-  bool cut_off() const { return cut_off_since_ms_ != 0; }
+  bool is_isolated() const { return cut_off_since_ms_ != 0; }
   // Since when nothing was heard; 0: not cut off.
-  std::uint64_t cut_off_since_ms() const { return cut_off_since_ms_; }
+  std::uint64_t isolated_since_ms() const { return cut_off_since_ms_; }
 
  private:
   std::uint64_t unanswered_since_ms_ = 0;  // 0: all is answered
--- a/include/trayrock/internal/decide/journal_writer.h
+++ b/include/trayrock/internal/decide/journal_writer.h
@@ -77,7 +77,7 @@
   std::uint64_t append(wire::Record record, std::uint64_t now_ms);
 
   // Names another copy holder. Copies stop until the name is stored.
-  void name_holder(const wire::CopyHolderNamed& holder, std::uint64_t now_ms);
+  void set_holder(const wire::CopyHolderNamed& holder, std::uint64_t now_ms);
 
   // Stops using the holder; a new one must be named. What it has is released
   // once it is stored.
@@ -89,20 +89,20 @@
   journal_actions poll(std::uint64_t now_ms);
 
   // The answer to a put_segment.
-  journal_actions put_answered(std::uint64_t number, put_outcome outcome,
-                               std::uint64_t now_ms);
+  journal_actions on_put_result(std::uint64_t number, put_outcome outcome,
+                                std::uint64_t now_ms);
 
   // The answer to a read_segment: nothing when it is absent.
-  journal_actions read_answered(std::uint64_t number,
-                                const std::optional<wire::Segment>& found,
-                                std::uint64_t now_ms);
+  journal_actions on_read_result(std::uint64_t number,
+                                 const std::optional<wire::Segment>& found,
+                                 std::uint64_t now_ms);
 
   // The read_segment could not be answered; it is tried again.
-  void read_failed(std::uint64_t now_ms);
+  void on_read_failed(std::uint64_t now_ms);
 
   // The copy holder's answer to a send_copy.
-  journal_actions copy_answered(std::uint64_t held_up_to);
-  void copy_failed(std::uint64_t now_ms);
+  journal_actions on_copy_ack(std::uint64_t held_up_to);
+  void on_copy_failed(std::uint64_t now_ms);
 
   void set_commit_interval(std::uint64_t interval_ms) {
     options_.commit_interval_ms = interval_ms;
@@ -115,7 +115,7 @@
   // One past the last segment known to be stored.
   std::uint64_t segments() const { return next_segment_; }
   const std::optional<wire::CopyHolderNamed>& holder() const { return holder_; }
-  std::size_t waiting_bytes() const { return waiting_bytes_; }
+  std::size_t pending_bytes() const { return waiting_bytes_; }
 
   // The records that are not known to be stored, for a successor that asks.
   std::vector<wire::Record> unstored() const;
@@ -174,8 +174,8 @@
 class journal_reader {
  public:
   // Hands on the records that were not seen before.
-  std::vector<wire::Record> take(const wire::Segment& segment);
-  std::vector<wire::Record> take_tail(const std::vector<wire::Record>& records);
+  std::vector<wire::Record> read(const wire::Segment& segment);
+  std::vector<wire::Record> read_tail(const std::vector<wire::Record>& records);
 
   // The last copy holder named in what was read.
   const std::optional<wire::CopyHolderNamed>& holder() const { return holder_; }
--- a/include/trayrock/internal/decide/mechanism.h
+++ b/include/trayrock/internal/decide/mechanism.h
@@ -6,7 +6,7 @@
 //
 // Example:
 //   mechanism_set off;
-//   if (const auto named = mechanism_named("relays")) off.insert(*named);
+//   if (const auto named = parse_mechanism("relays")) off.insert(*named);
 #pragma once
 
 #include <optional>
@@ -49,7 +49,7 @@
 std::span<const std::string_view> mechanism_names();
 
 // Nothing for a name that is not known.
-std::optional<mechanism> mechanism_named(std::string_view name);
+std::optional<mechanism> parse_mechanism(std::string_view name);
 
 // The names of a set's members, separated by spaces.
 std::string names_of(const mechanism_set& of);
--- a/include/trayrock/internal/decide/membership.h
+++ b/include/trayrock/internal/decide/membership.h
@@ -18,7 +18,7 @@
 
 namespace trayrock {
 
-struct member_view {
+struct peer_state {
   wire::Peer peer;
   std::uint64_t progress_ms = 0;  // when the beat was last seen to rise
 };
@@ -34,25 +34,25 @@
 
   // Takes news of another process. True when the process was not known, has
   // a new start, or came back.
-  bool hear(const wire::Peer& news, std::uint64_t now_ms);
+  bool apply_update(const wire::Peer& news, std::uint64_t now_ms);
 
   // Marks as gone those of the watched that made no progress. Gives the
   // processes that were newly marked. After a pause of this process itself
   // the others get a new chance first.
-  std::vector<wire::Peer> judge(std::uint64_t now_ms,
-                                std::uint64_t suspect_after_ms);
+  std::vector<wire::Peer> detect_failures(std::uint64_t now_ms,
+                                          std::uint64_t suspect_after_ms);
 
   // Everybody known and not gone, without this process.
-  std::vector<const member_view*> others() const;
+  std::vector<const peer_state*> live_peers() const;
 
   // Nodes (not entries) that are not gone, with this one; sorted by name.
   std::vector<std::string> live_nodes() const;
 
-  const member_view* find(std::string_view node) const;
+  const peer_state* find(std::string_view node) const;
 
   // The processes that this one watches: it is among their next two nodes on
   // the ring of names.
-  std::vector<std::string> watched() const;
+  std::vector<std::string> watched_nodes() const;
 
   // This process's place among a node's watchers: 0 first, 1 second; nothing
   // when it is none.
@@ -63,7 +63,7 @@
   bool is_config_watcher() const;
 
   // Up to `count` entries to pass on: fresh news first, then in turn.
-  std::vector<wire::Peer> news(std::size_t count);
+  std::vector<wire::Peer> next_updates(std::size_t count);
 
  private:
   struct ring_place {
@@ -73,7 +73,7 @@
   std::vector<ring_place> ring_with(std::string_view extra) const;
 
   wire::Peer self_;
-  std::map<std::string, member_view, std::less<>> members_;
+  std::map<std::string, peer_state, std::less<>> members_;
   std::vector<std::string> fresh_;
   std::string turn_;
   std::uint64_t judged_ms_ = 0;
--- a/include/trayrock/internal/decide/permit_book.h
+++ b/include/trayrock/internal/decide/permit_limiter.h
@@ -11,7 +11,7 @@
 //
 // Half of the tolerance that the operator grants for distributed counting is
 // given out. The rest covers what a loss of power may take out of a store's
-// memory (see most_unsynced()) and the way from a permit to the endpoint.
+// memory (see max_unsynced()) and the way from a permit to the endpoint.
 //
 // What a store gave out before it started counts: it is read back from the disk
 // as if it had been given at the start. A store that comes into the group anew
@@ -19,12 +19,12 @@
 //
 // Programs under way are served before new ones: a program that cannot go on is
 // lost with all that was spent on it. So a part of each share is kept from
-// requests that begin one (decide/permit_book.cc, `kept_for_programs`).
+// requests that begin one (decide/permit_limiter.cc, `kept_for_programs`).
 //
 // No I/O; times are of the steady clock.
 //
 // Example:
-//   permit_book book(terms);
+//   permit_limiter book(terms);
 //   book.begin({"store-1", "store-2", "store-3"}, "store-2");
 //   const permit_verdict said =
 //       book.acquire("growers", limit, permit_use::goes_on, now);
@@ -63,7 +63,7 @@
                                  const limit_terms& terms);
 
 enum class permit_use {
-  goes_on,        // a request of a program under way, or of none
+  regular,        // a request of a program under way, or of none
   starts_program  // the first of a program
 };
 
@@ -98,9 +98,9 @@
   std::uint64_t newest_ = 0;
 };
 
-class permit_book {
+class permit_limiter {
  public:
-  explicit permit_book(const limit_terms& terms) : terms_(terms) {}
+  explicit permit_limiter(const limit_terms& terms) : terms_(terms) {}
 
   // The stores that share the limits when this one starts, as its disk says, or
   // the first ones that ever do. It gives nothing unless it is among them.
@@ -128,7 +128,7 @@
 
   // Permits of a workspace that may be given out before they are on the disk.
   // A loss of power takes no more than that out of the memory of a store.
-  std::uint64_t most_unsynced(std::string_view workspace) const;
+  std::uint64_t max_unsynced(std::string_view workspace) const;
 
   // Drops workspaces that were given nothing in the last window, and names
   // them.
--- a/include/trayrock/internal/decide/program_book.h
+++ b/include/trayrock/internal/decide/program_table.h
@@ -6,7 +6,7 @@
 // and give what to do; they change nothing themselves.
 //
 // Example:
-//   program_book book;
+//   program_table book;
 //   book.apply(record);
 //   call_decision decision = book.admit(request, terms, now);
 #pragma once
@@ -54,7 +54,7 @@
 };
 
 // What the configuration says about the call.
-struct call_terms {
+struct call_settings {
   std::string service;
   bool conversational = true;  // a call of the program's own model
   bool repeatable = true;
@@ -79,20 +79,20 @@
 using call_decision =
     std::variant<start_call, join_call, replay_call, refuse_call>;
 
-class program_book {
+class program_table {
  public:
   // Applies one record; records of unknown programs are ignored.
   void apply(const wire::Record& record);
 
   // Decides on a call. Changes nothing.
-  call_decision admit(const wire::CallRequest& request, const call_terms& terms,
-                      std::uint64_t now_ms) const;
+  call_decision admit(const wire::CallRequest& request,
+                      const call_settings& terms, std::uint64_t now_ms) const;
 
   // Whether a program may be opened; the failure's code is zero if so.
   wire::Failure check_open(const wire::ProgramSpec& spec) const;
 
   // The program if it is the member's; else the failure.
-  std::variant<const program_state*, wire::Failure> find_for(
+  std::variant<const program_state*, wire::Failure> find_for_workspace(
       std::string_view program, std::string_view member) const;
 
   const program_state* find(std::string_view program) const;
@@ -107,7 +107,7 @@
                                std::uint32_t shard);
 
   // Forgets a program (its shard was given away, or it ended long ago).
-  void forget(std::string_view program);
+  void remove(std::string_view program);
 
  private:
   program_state* find_mutable(std::string_view program);
--- a/include/trayrock/internal/decide/program_sightings.h
+++ b/include/trayrock/internal/decide/recent_programs.h
@@ -6,7 +6,7 @@
 // No I/O; the caller gives the time.
 //
 // Example:
-//   program_sightings seen;
+//   recent_programs seen;
 //   seen.note("program", now);
 //   if (seen.knows("program", now)) go_on();
 #pragma once
@@ -18,10 +18,10 @@
 
 namespace trayrock {
 
-class program_sightings {
+class recent_programs {
  public:
-  void note(std::string_view program, std::uint64_t now_ms);
-  bool knows(std::string_view program, std::uint64_t now_ms) const;
+  void record(std::string_view program, std::uint64_t now_ms);
+  bool contains(std::string_view program, std::uint64_t now_ms) const;
 
   // Programs that are remembered.
   std::size_t size() const { return last_ms_.size(); }
--- a/include/trayrock/internal/decide/lapse_rule.h
+++ b/include/trayrock/internal/decide/record_expiry.h
@@ -20,8 +20,9 @@
 // s (test/leaving_endpoint_test.cc).
 //
 // Example:
-//   lapsed_at_once(68, 68);  // true
-//   if (now < kept_until_ms(absence::listed_after_loss, times, 3000)) use_it();
+//   is_mass_expiry(68, 68);  // true
+//   if (now < kept_until_ms(missing_cause::absent_after_outage, times, 3000))
+//   use_it();
 #pragma once
 
 #include <cstddef>
@@ -30,27 +31,27 @@
 namespace trayrock {
 
 // When an answer of the platform came, and what went before it.
-struct answer_times {
+struct reply_times {
   std::uint64_t now_ms = 0;
   // When the last call was sent that the platform did not serve; 0: none yet.
-  std::uint64_t unserved_ms = 0;
+  std::uint64_t last_failed_call_ms = 0;
   // Until when whoever told of it uses such endpoints; 0: the platform told.
-  std::uint64_t told_until_ms = 0;
+  std::uint64_t peer_keeps_until_ms = 0;
 };
 
 // How endpoints came to be missing.
-enum class absence {
-  listed_after_loss,  // not in the first listing after calls were lost
-  nearly_all_at_once
+enum class missing_cause {
+  absent_after_outage,  // not in the first listing after calls were lost
+  mass_removal
 };
 
 // `removed` of the `known` records have gone in one answer of the platform.
-bool lapsed_at_once(std::size_t removed, std::size_t known);
+bool is_mass_expiry(std::size_t removed, std::size_t known);
 
 // Until when endpoints that are missing may be used, in milliseconds; a time
 // that is not after `times.now_ms`: not any more. Boxes have `reconnect_ms`
 // from the platform's return to know all.
-std::uint64_t kept_until_ms(absence how, const answer_times& times,
+std::uint64_t kept_until_ms(missing_cause how, const reply_times& times,
                             std::uint64_t reconnect_ms);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/relay_choice.h
+++ b/include/trayrock/internal/decide/relay_selector.h
@@ -9,7 +9,7 @@
 // whose time is over first is tried all the same.
 //
 // Example:
-//   relay_choice relays("gateway-1", "north");
+//   relay_selector relays("gateway-1", "north");
 //   relays.replace({{"gateway-2", "127.0.0.1:7000", "north"}});
 //   const std::string via = relays.pick(now);
 //   relays.failed(via, relay_failure::silent, now);
@@ -34,9 +34,9 @@
   store_unreachable  // the peer got no answer of the store
 };
 
-class relay_choice {
+class relay_selector {
  public:
-  relay_choice(std::string own_name, std::string own_data_centre);
+  relay_selector(std::string own_name, std::string own_data_centre);
 
   // Takes a new list; what is known of the peers that stay on it is kept.
   void replace(const std::vector<relay_peer>& peers);
@@ -51,13 +51,13 @@
   std::string pick(std::uint64_t now_ms) const;
 
   // True when no peer is known that is not being left alone.
-  bool exhausted(std::uint64_t now_ms) const;
+  bool all_in_backoff(std::uint64_t now_ms) const;
 
   // A peer has passed a call on and its answer back.
-  void passed_on(std::string_view address, std::uint64_t now_ms);
+  void record_success(std::string_view address, std::uint64_t now_ms);
 
-  void failed(std::string_view address, relay_failure how,
-              std::uint64_t now_ms);
+  void record_failure(std::string_view address, relay_failure how,
+                      std::uint64_t now_ms);
 
  private:
   struct state {
--- a/include/trayrock/internal/decide/request_table.h
+++ b/include/trayrock/internal/decide/request_table.h
@@ -39,12 +39,12 @@
   std::uint64_t changed_ms = 0;
 };
 
-enum class table_verdict {
+enum class request_decision {
   run,
   attach,
   refuse_start,  // meant for another start of this node
   refuse_term,   // a newer owner of the shard is known
-  refuse_past,   // the program has gone on: a late copy
+  refuse_stale,  // the program has gone on: a late copy
 };
 
 class request_table {
@@ -53,8 +53,8 @@
 
   // What to do with a request; a first sight enters it as running, or as a
   // tombstone if it may only attach. Raises the highest term of its shard.
-  table_verdict arrive(const wire::ExecuteRequest& request,
-                       std::uint64_t now_ms);
+  request_decision register_request(const wire::ExecuteRequest& request,
+                                    std::uint64_t now_ms);
 
   request_entry* find(const request_key& key);
 
--- a/include/trayrock/internal/decide/resend_rule.h
+++ b/include/trayrock/internal/decide/resend_policy.h
@@ -10,7 +10,7 @@
 //   resend_view view;
 //   view.kind = repetition::repeatable;
 //   view.sends = 1;
-//   view.most_sends = 2;
+//   view.max_sends = 2;
 //   resend_after_failure(view);  // resend::again
 #pragma once
 
@@ -24,9 +24,9 @@
   repetition kind = repetition::once;
   bool resumable = false;   // the route's streams may go on elsewhere
   std::uint32_t sends = 0;  // endpoints that it was sent to
-  std::uint32_t most_sends = 1;
-  bool answer_begun = false;    // the client has got a part of the answer
-  bool has_last_event = false;  // which ends with an event that has an id
+  std::uint32_t max_sends = 1;
+  bool response_started = false;  // the client has got a part of the answer
+  bool has_last_event = false;    // which ends with an event that has an id
 };
 
 enum class resend {
@@ -39,6 +39,6 @@
 resend resend_after_failure(const resend_view& view);
 
 // True when an endpoint that is late may be left for another one.
-bool may_leave_late_endpoint(const resend_view& view);
+bool may_abandon_slow_endpoint(const resend_view& view);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/return_time.h
+++ b/include/trayrock/internal/decide/retry_after.h
@@ -10,7 +10,7 @@
 //   drain_view view;
 //   view.draining_for = milliseconds(6000);
 //   view.since_last_connection = milliseconds(40);
-//   const milliseconds wait = return_time(view);  // 1500 ms
+//   const milliseconds wait = retry_after_delay(view);  // 1500 ms
 #pragma once
 
 #include <chrono>
@@ -28,28 +28,28 @@
 struct by_balancer {
   bool operator==(const by_balancer&) const = default;
 };
-struct always_at_once {
-  bool operator==(const always_at_once&) const = default;
+struct always_immediate {
+  bool operator==(const always_immediate&) const = default;
 };
-using return_rule = std::variant<by_balancer, always_at_once>;
+using retry_after_policy = std::variant<by_balancer, always_immediate>;
 
-std::chrono::milliseconds return_time(const drain_view& view,
-                                      return_rule rule = by_balancer{});
+std::chrono::milliseconds retry_after_delay(
+    const drain_view& view, retry_after_policy rule = by_balancer{});
 
 // The same of a gateway that has been cut off from all others for this long:
 // its clients find another one once the balancer has noticed.
-std::chrono::milliseconds return_time_when_cut_off(
+std::chrono::milliseconds retry_after_when_isolated(
     std::chrono::milliseconds cut_off_for);
 
 // When a client should come back whose workspace's limit is reached; `next` is
 // how long until a permit may be there.
-std::chrono::milliseconds return_time_at_limit(std::chrono::milliseconds next);
+std::chrono::milliseconds retry_after_at_limit(std::chrono::milliseconds next);
 
 // When a client should come back whose key cannot be served, since neither the
 // platform nor other gateways have shown for seconds that the configuration is
 // the newest: the platform is out for all, most likely, and back soon. Clients
-// who came back earlier would use up their tries (test/return_time_test.cc
+// who came back earlier would use up their tries (test/retry_after_test.cc
 // plays one).
-std::chrono::milliseconds return_time_when_unproven();
+std::chrono::milliseconds retry_after_when_config_stale();
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/retry_budget.h
+++ b/include/trayrock/internal/decide/retry_budget.h
@@ -21,7 +21,7 @@
     share_ = static_cast<double>(percent) / 100.0;
   }
 
-  void note_call() { saved_ = std::min(reserve_, saved_ + share_); }
+  void record_call() { saved_ = std::min(reserve_, saved_ + share_); }
 
   // Spends one retry; false when there is none.
   bool spend() {
--- a/include/trayrock/internal/decide/routing.h
+++ b/include/trayrock/internal/decide/routing.h
@@ -41,7 +41,7 @@
 using routing_policy =
     std::variant<round_robin, least_loaded, prefix_affinity, balanced>;
 
-routing_policy routing_by_name(std::string_view name, double cache_weight);
+routing_policy parse_routing_policy(std::string_view name, double cache_weight);
 
 // The index of the chosen runner; nothing when there is none.
 std::optional<std::size_t> choose_runner(const routing_policy& policy,
--- a/include/trayrock/internal/decide/runner_queue.h
+++ b/include/trayrock/internal/decide/runner_queue.h
@@ -58,7 +58,7 @@
   std::optional<queued_request> start_next(std::uint64_t now_ms);
 
   // A running request ended after so long.
-  void ended(std::uint64_t took_ms);
+  void on_finished(std::uint64_t took_ms);
 
   // Takes a request that has not started out of the queue.
   bool remove(const request_key& key);
--- a/include/trayrock/internal/decide/shard_map.h
+++ b/include/trayrock/internal/decide/shard_map.h
@@ -58,13 +58,13 @@
 
 // Changes to a stored map. Each gives the next version, or the same version
 // when there is nothing to change (somebody else did it already).
-wire::ShardMap first_map(std::uint32_t shards, const shard_owner& owner);
+wire::ShardMap make_initial_map(std::uint32_t shards, const shard_owner& owner);
 
 // Moves every shard of a sealed journal. `end_segment` is the seal's number.
-wire::ShardMap with_sealed_moved(const wire::ShardMap& stored,
-                                 const std::string& sealed_journal,
-                                 std::uint64_t end_segment,
-                                 const shard_owner& to);
+wire::ShardMap reassign_sealed_shards(const wire::ShardMap& stored,
+                                      const std::string& sealed_journal,
+                                      std::uint64_t end_segment,
+                                      const shard_owner& to);
 
 // Segments of a journal, the last one excluded.
 struct segment_range {
@@ -76,15 +76,15 @@
 using shard_receivers = std::map<std::uint32_t, shard_owner>;
 
 // Moves shards by agreement; their whole state stands in these segments.
-wire::ShardMap with_handed_over(const wire::ShardMap& stored,
+wire::ShardMap hand_over_shards(const wire::ShardMap& stored,
                                 const std::string& from_journal,
                                 const shard_receivers& receivers,
                                 segment_range where);
 
 // Drops the sources of shards whose state is in the owner's own journal.
-wire::ShardMap with_sources_read(const wire::ShardMap& stored,
-                                 const std::string& journal,
-                                 const std::set<std::uint32_t>& shards);
+wire::ShardMap remove_read_sources(const wire::ShardMap& stored,
+                                   const std::string& journal,
+                                   const std::set<std::uint32_t>& shards);
 
 // Journals that the map still needs, as owner or as source.
 std::set<std::string> journals_in_use(const wire::ShardMap& stored);
--- a/include/trayrock/internal/decide/late_rule.h
+++ b/include/trayrock/internal/decide/slow_endpoint_detector.h
@@ -9,7 +9,7 @@
 // No clock: the caller measures. One object for each service.
 //
 // Example:
-//   late_rule rule;
+//   slow_endpoint_detector rule;
 //   rule.answer_began(milliseconds(31));
 //   rule.late_after(objective);  // the objective, as long as answers are quick
 //   if (rule.leave()) send_to_another();
@@ -28,40 +28,40 @@
 struct compared_with_service {
   bool operator==(const compared_with_service&) const = default;
 };
-struct objective_alone {
-  bool operator==(const objective_alone&) const = default;
+struct objective_only {
+  bool operator==(const objective_only&) const = default;
 };
-using late_limit = std::variant<compared_with_service, objective_alone>;
+using late_limit = std::variant<compared_with_service, objective_only>;
 
-struct late_policy {
+struct slow_endpoint_policy {
   late_limit limit = compared_with_service{};
-  bool leaves = true;  // for another endpoint; false: only warns of it
+  bool allows_resend = true;  // for another endpoint; false: only warns of it
 
-  bool operator==(const late_policy&) const = default;
+  bool operator==(const slow_endpoint_policy&) const = default;
 };
 
-class late_rule {
+class slow_endpoint_detector {
  public:
   using milliseconds = std::chrono::milliseconds;
 
-  explicit late_rule(late_policy policy = {});
+  explicit slow_endpoint_detector(slow_endpoint_policy policy = {});
 
   // An endpoint began its answer after this time; or it was left then.
-  void answer_began(milliseconds after);
+  void record_first_byte(milliseconds after);
 
   // How long an endpoint may give nothing; `least` at the least.
-  milliseconds late_after(milliseconds least) const;
+  milliseconds first_byte_timeout(milliseconds least) const;
 
   // Whether one more late endpoint may be left. False: wait on.
-  bool leave() { return policy_.leaves && budget_.spend(); }
+  bool acquire_resend() { return policy_.allows_resend && budget_.spend(); }
 
  private:
   milliseconds limit_of(const compared_with_service&, milliseconds least) const;
-  static milliseconds limit_of(const objective_alone&, milliseconds least) {
+  static milliseconds limit_of(const objective_only&, milliseconds least) {
     return least;
   }
 
-  late_policy policy_;
+  slow_endpoint_policy policy_;
   double mean_ms_ = 0;
   double deviation_ms_ = 0;  // mean distance from the mean
   std::uint64_t seen_ = 0;
--- a/include/trayrock/internal/decide/store_membership.h
+++ b/include/trayrock/internal/decide/store_membership.h
@@ -42,23 +42,24 @@
   records::Group group;
   std::map<std::string, peer_view> peers;  // by the id in the group
   std::set<std::string> retiring_boxes;
-  bool retirement_told = false;   // of this store's box, by another store
+  bool peer_reported_retirement =
+      false;                      // of this store's box, by another store
   std::uint64_t retiring_ms = 0;  // how long this store's box has been asked to
   bool change_pending = false;    // a change of the group is under way
   // Stores that are learners already go on learning for the next places.
   bool keeps_learners_ready = true;
   // How long this store has seen a place that has to be filled; 0: none.
-  std::uint64_t place_open_ms = 0;
+  std::uint64_t vacancy_ms = 0;
 };
 
 struct do_nothing {};
 // Tell the gateways to copy writes here, and no more to learners that are gone.
 struct become_learner {
-  std::vector<std::string> gone;  // their ids
+  std::vector<std::string> lost_learners;  // their ids
 };
 // Become a voter; `leaving` is empty where the group lacks one.
-struct take_place {
-  std::string leaving;
+struct become_voter {
+  std::string replaced;
   std::string_view cause;
 };
 // Leave the group, which stays smaller.
@@ -66,7 +67,7 @@
 // This box's data is no longer needed.
 struct finish_retirement {};
 
-using membership_action = std::variant<do_nothing, become_learner, take_place,
+using membership_action = std::variant<do_nothing, become_learner, become_voter,
                                        leave_group, finish_retirement>;
 
 // Whether the store has to ask the platform about the group by itself. One
@@ -76,7 +77,7 @@
 bool needs_platform(const membership_view& view);
 
 // True when a voter has to be replaced, or one is missing.
-bool has_open_place(const membership_view& view);
+bool has_vacancy(const membership_view& view);
 
 membership_action next_membership_action(const membership_view& view);
 
--- a/include/trayrock/internal/decide/store_peers.h
+++ b/include/trayrock/internal/decide/store_peers.h
@@ -10,7 +10,7 @@
 // Example:
 //   store_peers peers;
 //   peers.follow(state, now);
-//   peers.pull_began("store-2");
+//   peers.on_pull_started("store-2");
 //   if (peers.answered("store-2", reply, now)) {
 //     peers.read("store-2", true);
 //   }
@@ -29,12 +29,12 @@
 struct store_peer {
   records::Store store;
   bool learner = false;  // only asked whether it lives
-  std::uint64_t first_asked_ms = 0;
-  std::uint64_t answered_ms = 0;  // 0: never
-  std::string id_at_address;      // which store answers there; empty: none yet
-  bool counts = false;            // in the present epoch
-  bool read_to_end = false;       // all that it held lately has been read
-  bool fenced = false;            // for the present epoch
+  std::uint64_t first_polled_ms = 0;
+  std::uint64_t last_reply_ms = 0;  // 0: never
+  std::string id_at_address;  // which store answers there; empty: none yet
+  bool counts = false;        // in the present epoch
+  bool read_to_end = false;   // all that it held lately has been read
+  bool fenced = false;        // for the present epoch
 
   bool pull_began_fenced = false;
   bool read_since_fence = false;
@@ -46,18 +46,18 @@
   // before, and its learners.
   void follow(const records::StoreState& own, std::uint64_t now_ms);
 
-  void pull_began(const std::string& id);
+  void on_pull_started(const std::string& id);
 
   // A pull was answered. False if the peer is not followed any more or if
   // another store has taken its address.
-  bool answered(const std::string& id, const records::PullReply& answer,
-                std::uint64_t now_ms);
+  bool on_pull_reply(const std::string& id, const records::PullReply& answer,
+                     std::uint64_t now_ms);
 
   // What the last pull brought is on this store's disk.
-  void read(const std::string& id, bool to_end);
+  void on_records_stored(const std::string& id, bool to_end);
 
   // A fence for `epoch` was answered. True if the peer is fenced now.
-  bool fence_answered(const std::string& id, const records::FenceReply& answer,
+  bool on_fence_reply(const std::string& id, const records::FenceReply& answer,
                       std::uint64_t epoch);
 
   // Previous voters that have been read as a voter that joins has to, itself
@@ -65,7 +65,7 @@
   std::size_t read_since_fence(const records::StoreState& own) const;
 
   // True when a voter that does not count yet may do so.
-  bool joined(const records::StoreState& own) const;
+  bool has_joined(const records::StoreState& own) const;
 
   const store_peer* find(const std::string& id) const;
   const std::map<std::string, store_peer>& all() const { return peers_; }
--- a/include/trayrock/internal/decide/urgency.h
+++ b/include/trayrock/internal/decide/urgency.h
@@ -26,8 +26,8 @@
 struct turn_view {
   // Until its program should be over; nothing: it does not say.
   std::optional<std::chrono::milliseconds> program_time_left;
-  bool goes_on = false;    // its program is under way
-  std::uint32_t rank = 0;  // of its route; 0 is the most urgent
+  bool program_in_progress = false;  // its program is under way
+  std::uint32_t rank = 0;            // of its route; 0 is the most urgent
 };
 
 int urgency_of(const turn_view& turn);
--- a/include/trayrock/internal/decide/watch_roles.h
+++ b/include/trayrock/internal/decide/watch_roles.h
@@ -16,7 +16,7 @@
 // Example:
 //   watch_roles roles("gateway-1", "north", sharing);
 //   const watch_step step = roles.next(peers, now);
-//   if (const auto* ask = std::get_if<ask_watcher>(&step)) poll(ask->address);
+//   if (const auto* ask = std::get_if<poll_watcher>(&step)) poll(ask->address);
 //   roles.heard(address);            // it watches, and has answered
 //   roles.unusable(address, now);    // silent, or it does not watch
 #pragma once
@@ -29,22 +29,22 @@
 #include <variant>
 #include <vector>
 
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 
 namespace trayrock {
 
 // Ask this gateway; its address is A.B.C.D:PORT.
-struct ask_watcher {
+struct poll_watcher {
   std::string address;
 };
 // Ask the platform: there is nobody else to ask, or others rely on it.
 struct watch_platform {};
-using watch_step = std::variant<ask_watcher, watch_platform>;
+using watch_step = std::variant<poll_watcher, watch_platform>;
 
 // What a gateway that has just started, and knows nothing, does.
 struct wait_for_peers {};
 using first_watch_step =
-    std::variant<ask_watcher, watch_platform, wait_for_peers>;
+    std::variant<poll_watcher, watch_platform, wait_for_peers>;
 
 // Who watches: a few of each data centre, or every gateway by itself.
 struct few_watch {
@@ -61,20 +61,20 @@
               watch_sharing sharing);
 
   // What to do now. Asked again before each poll.
-  watch_step next(std::span<const relay_peer> peers, std::uint64_t now_ms);
+  watch_step next_step(std::span<const relay_peer> peers, std::uint64_t now_ms);
 
   // The same before anything is known. `listed`: this gateway has been seen on
   // a list of all, so that those that started with it are on it, too. Until
   // then it does not take itself for a watcher, or all that start together
   // would read everything from the platform; nor does it wait for long.
-  first_watch_step first(std::span<const relay_peer> peers, bool listed,
-                         std::chrono::milliseconds since_start,
-                         std::uint64_t now_ms);
+  first_watch_step initial_step(std::span<const relay_peer> peers, bool listed,
+                                std::chrono::milliseconds since_start,
+                                std::uint64_t now_ms);
 
   // The same while the platform is asked already and has not answered: others
   // may know what it does not tell.
-  first_watch_step beside_platform(std::span<const relay_peer> peers,
-                                   std::uint64_t now_ms);
+  first_watch_step peer_step(std::span<const relay_peer> peers,
+                             std::uint64_t now_ms);
 
   // True when this gateway is one of those that are to watch, by what it knows
   // of the peers.
@@ -86,10 +86,10 @@
                                     std::uint64_t now_ms) const;
 
   // A gateway that was asked watches, and has answered.
-  void heard(const std::string& address);
+  void on_reply(const std::string& address);
 
   // It gave no answer, or does not watch.
-  void unusable(const std::string& address, std::uint64_t now_ms);
+  void on_failure(const std::string& address, std::uint64_t now_ms);
 
  private:
   struct view {
--- a/include/trayrock/internal/gateway/client_answer.h
+++ b/include/trayrock/internal/gateway/client_answer.h
@@ -15,8 +15,8 @@
 #include <string>
 #include <string_view>
 
+#include "trayrock/internal/decide/complete_event_buffer.h"
 #include "trayrock/internal/decide/event_stream.h"
-#include "trayrock/internal/decide/whole_events.h"
 #include "trayrock/internal/net/http1_server.h"
 
 namespace trayrock {
@@ -58,7 +58,7 @@
 
   http1_exchange_ptr out_;
   bool resumable_ = false;
-  whole_events whole_;
+  complete_event_buffer whole_;
   event_stream events_;
 };
 
--- a/include/trayrock/internal/gateway/configuration.h
+++ b/include/trayrock/internal/gateway/configuration.h
@@ -49,9 +49,9 @@
   std::chrono::seconds retention{0};
   // A stream may go on at another endpoint behind an event; it is idempotent.
   bool resumable = false;
-  bool open_to_all = false;  // no key is asked for
+  bool is_public = false;  // no key is asked for
   // Longest pause between events that keeps a stream in time; 0: none named.
-  std::chrono::milliseconds longest_pause{0};
+  std::chrono::milliseconds max_event_gap{0};
 };
 
 // What is known of the model engines of a service.
--- a/include/trayrock/internal/gateway/configuration_view.h
+++ b/include/trayrock/internal/gateway/configuration_view.h
@@ -53,7 +53,7 @@
   const configuration_proof& proof() const { return proof_; }
 
   // Whether requests that need a key may be served.
-  bool is_proven() const { return proof_.holds(loop_.now_ms()); }
+  bool is_proven() const { return proof_.is_valid(loop_.now_ms()); }
 
   // A configuration that another gateway has sent.
   void take_document(const configuration_document& document);
@@ -66,8 +66,8 @@
 
   // Others watch the platform for this gateway, or not any more
   // (platform/collection_watcher.h).
-  bool hold() { return watcher_.hold(); }
-  void release(bool patient) { watcher_.release(patient); }
+  bool hold() { return watcher_.pause(); }
+  void release(bool patient) { watcher_.resume(patient); }
 
  private:
   void watch();
--- a/include/trayrock/internal/gateway/endpoint_attempt.h
+++ b/include/trayrock/internal/gateway/endpoint_attempt.h
@@ -20,7 +20,7 @@
 #include <string_view>
 
 #include "trayrock/internal/decide/endpoint_state.h"
-#include "trayrock/internal/gateway/request_facts.h"
+#include "trayrock/internal/gateway/request_metadata.h"
 #include "trayrock/internal/net/http1_client.h"
 #include "trayrock/internal/net/loop.h"
 
@@ -30,7 +30,7 @@
  public:
   // All outlive the object.
   endpoint_attempt(event_loop& loop, http1_pool& pool,
-                   const request_facts& facts, bool drops_connections = true)
+                   const request_metadata& facts, bool drops_connections = true)
       : loop_(loop),
         pool_(pool),
         facts_(facts),
@@ -59,7 +59,7 @@
   milliseconds age() const;
 
   // The head must have been found to belong to this request.
-  void take_head(const http1_answer_head& head, answer_facts answer);
+  void take_head(const http1_answer_head& head, response_metadata answer);
 
   // Holds bytes back until the answer is complete. An answer that is too
   // large for that is invalid.
@@ -90,14 +90,14 @@
 
   event_loop& loop_;
   http1_pool& pool_;
-  const request_facts& facts_;
+  const request_metadata& facts_;
   bool drops_connections_;  // idle ones, beside one that failed
   endpoint_state_ptr endpoint_;
   http1_call call_;
   bool in_flight_ = false;
   std::uint64_t sent_at_us_ = 0;
   http1_answer_head head_;
-  answer_facts answer_;
+  response_metadata answer_;
   std::string body_;
   bool invalid_ = false;
 };
--- a/include/trayrock/internal/gateway/endpoint_directory.h
+++ b/include/trayrock/internal/gateway/endpoint_directory.h
@@ -23,7 +23,7 @@
 
 #include "trayrock/internal/decide/endpoint_choice.h"
 #include "trayrock/internal/decide/endpoint_state.h"
-#include "trayrock/internal/decide/lapse_rule.h"
+#include "trayrock/internal/decide/record_expiry.h"
 #include "trayrock/internal/gateway/evacuation_list.h"
 #include "trayrock/internal/gateway/former_endpoints.h"
 
@@ -34,7 +34,7 @@
   health_policy health;
   choice_policy choice;
   // Records that go nearly all at once are kept for a moment.
-  bool keeps_lapsed = true;
+  bool keeps_expired = true;
   // From the end of a trouble of the platform until this box has to know all.
   std::uint64_t reconnect_ms = 3000;
 
@@ -52,10 +52,10 @@
 
   // Replaces the whole list. After a loss of the platform, or when nearly all
   // are missing at once, an endpoint that is not listed and was not leaving
-  // stays for a moment, since it may be back at once (decide/lapse_rule.h).
+  // stays for a moment, since it may be back at once (decide/record_expiry.h).
   // Returns the ids of those that stay so.
   std::vector<std::string> replace(const std::vector<endpoint>& listed,
-                                   bool after_loss, const answer_times& times);
+                                   bool after_loss, const reply_times& times);
 
   // The data centres that are being emptied: nothing is sent there. Endpoints
   // of one that is taken back count as cold, since their records may be late.
@@ -67,7 +67,7 @@
 
   // Finds out anew how much of it is this gateway's, for endpoints that are
   // cold now.
-  void share_cold(const cold_sharing& share_of, std::uint64_t now_ms);
+  void update_cold_shares(const cold_sharing& share_of, std::uint64_t now_ms);
 
   // Takes a record. One of a later instance than the known one takes its place,
   // with nothing held, in flight or noted against it; one of an earlier
@@ -84,42 +84,42 @@
   bool withdraw(const std::string& id, std::uint64_t revision);
 
   // Whether so many records that go in one answer of the platform have lapsed
-  // with it (decide/lapse_rule.h).
-  bool lapsed_at_once(std::size_t removed) const;
+  // with it (decide/record_expiry.h).
+  bool is_mass_expiry(std::size_t removed) const;
 
   // The endpoint's record has lapsed with many others: it stays for a moment,
   // unless it was leaving.
-  void lapse(const endpoint_identity& gone, std::uint64_t revision,
-             const answer_times& times);
+  void expire(const endpoint_identity& gone, std::uint64_t revision,
+              const reply_times& times);
 
   // Until when endpoints stay that are missing in this way.
-  std::uint64_t kept_until(absence how, const answer_times& times) const;
+  std::uint64_t kept_until(missing_cause how, const reply_times& times) const;
 
   // Drops the endpoints whose moment is over; returns their ids. They are not
   // chosen any more before it.
   std::vector<std::string> sweep(std::uint64_t now_ms);
 
   // Nothing if no endpoint of the service may be sent to.
-  endpoint_state_ptr choose(const endpoint_choice& wanted,
+  endpoint_state_ptr choose(const endpoint_criteria& wanted,
                             std::uint64_t now_ms) const;
 
   // Whether some of the service would take a request if they were not cold.
-  bool are_held_back_when_cold(std::string_view service,
-                               std::uint64_t now_ms) const;
+  bool is_limited_by_cold_start(std::string_view service,
+                                std::uint64_t now_ms) const;
 
   // Bookkeeping of one attempt.
-  static void begin(endpoint_state& at, std::uint64_t now_ms);
+  static void begin_attempt(endpoint_state& at, std::uint64_t now_ms);
   // Ends it; true if the endpoint is left alone from now on.
-  static bool end(endpoint_state& at, attempt_outcome outcome,
-                  double latency_ms, std::uint64_t now_ms);
+  static bool end_attempt(endpoint_state& at, attempt_outcome outcome,
+                          double latency_ms, std::uint64_t now_ms);
 
   // A request of another gateway failed at the endpoint; true as above.
-  bool report_failure(const endpoint_identity& failed, std::string_view gateway,
-                      std::uint64_t now_ms);
+  bool record_peer_failure(const endpoint_identity& failed,
+                           std::string_view gateway, std::uint64_t now_ms);
 
   // Another gateway has met another endpoint at this instance's address. True
   // if this was not known.
-  bool supersede(const endpoint_identity& former);
+  bool mark_superseded(const endpoint_identity& former);
 
   // The instance that is known under an id; nothing if there is none.
   const endpoint* find(const std::string& id) const;
--- a/include/trayrock/internal/gateway/error_answer.h
+++ b/include/trayrock/internal/gateway/error_answer.h
@@ -12,7 +12,7 @@
 namespace trayrock {
 
 // When a client should try again that got this error; zero: it is not told.
-// That of a gateway that stops depends on others (decide/return_time.h).
+// That of a gateway that stops depends on others (decide/retry_after_delay.h).
 milliseconds back_after(errc why);
 
 // Answers with the status of the code, and with when the client should try
--- a/include/trayrock/internal/gateway/gateway_policy.h
+++ b/include/trayrock/internal/gateway/gateway_policy.h
@@ -8,30 +8,30 @@
 //   endpoint_directory endpoints(policy.endpoints);
 #pragma once
 
-#include "trayrock/internal/decide/duration_book.h"
-#include "trayrock/internal/decide/late_rule.h"
+#include "trayrock/internal/decide/duration_estimator.h"
 #include "trayrock/internal/decide/mechanism.h"
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
+#include "trayrock/internal/decide/slow_endpoint_detector.h"
 #include "trayrock/internal/decide/watch_roles.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
 
 namespace trayrock {
 
 // What gateways tell each other, beside configurations.
-struct news_policy {
+struct peer_notifier_policy {
   bool failures = true;
   bool superseded = true;
   bool revisions = true;
 
-  bool operator==(const news_policy&) const = default;
+  bool operator==(const peer_notifier_policy&) const = default;
 };
 
 struct gateway_policy {
   directory_policy endpoints;
-  late_policy late;
-  news_policy news;
-  stop_estimate durations = by_recent_requests{};
-  return_rule return_times = by_balancer{};
+  slow_endpoint_policy late;
+  peer_notifier_policy peer_notifier;
+  duration_source durations = by_recent_requests{};
+  retry_after_policy return_times = by_balancer{};
   watch_sharing watches = few_watch{};
   bool relays = true;
   bool resumes_streams = true;
--- a/include/trayrock/internal/gateway/gateway_stages.h
+++ b/include/trayrock/internal/gateway/gateway_stages.h
@@ -19,7 +19,7 @@
 #include <cstdint>
 #include <functional>
 
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 #include "trayrock/internal/net/http1_server.h"
 #include "trayrock/internal/net/loop.h"
 #include "trayrock/internal/process.h"
@@ -31,7 +31,7 @@
   // `clients` outlives the object. Within `stop_limit` of being told to stop
   // the process has ended.
   gateway_stages(event_loop& loop, http1_server& clients,
-                 milliseconds stop_limit, return_rule return_times)
+                 milliseconds stop_limit, retry_after_policy return_times)
       : loop_(loop),
         clients_(clients),
         stop_limit_(stop_limit),
@@ -70,7 +70,7 @@
   event_loop& loop_;
   http1_server& clients_;
   milliseconds stop_limit_;
-  return_rule return_times_;
+  retry_after_policy return_times_;
   std::function<bool()> ready_;
   timer starting_;
   timer taking_;
--- a/include/trayrock/internal/gateway/peer_news.h
+++ b/include/trayrock/internal/gateway/peer_news.h
@@ -11,11 +11,11 @@
 // it.
 //
 // Example:
-//   peer_news news(loop, pool, receivers, own, news_policy());
+//   peer_news news(loop, pool, receivers, own, peer_notifier_policy());
 //   news.serve(rpc, {heard_of, on_endpoints_news, on_endpoints,
 //                    on_configuration, held_document, sent});
-//   news.note_failure("endpoint-1");
-//   news.note_superseded("endpoint-2");
+//   news.report_failure("endpoint-1");
+//   news.report_superseded("endpoint-2");
 //   news.note_configuration(7);
 #pragma once
 
@@ -29,7 +29,7 @@
 #include "platform/gateway_registry.h"
 #include "records.pb.h"
 #include "trayrock/internal/decide/endpoint_identity.h"
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 #include "trayrock/internal/gateway/gateway_policy.h"
 #include "trayrock/internal/gateway/watch_log.h"
 #include "trayrock/internal/net/loop.h"
@@ -58,7 +58,7 @@
   // `receivers` gives the addresses of the gateways that are told.
   peer_news(event_loop& loop, rpc_pool& pool,
             std::function<std::vector<std::string>()> receivers,
-            platform::gateway_entry own, news_policy policy);
+            platform::gateway_entry own, peer_notifier_policy policy);
   peer_news(const peer_news&) = delete;
   peer_news& operator=(const peer_news&) = delete;
 
@@ -66,10 +66,10 @@
   void serve(rpc_server& server, news_handlers handlers);
 
   // A request of this gateway failed at the endpoint.
-  void note_failure(const endpoint_identity& endpoint);
+  void report_failure(const endpoint_identity& endpoint);
 
   // This gateway has met another instance at the endpoint's address.
-  void note_superseded(const endpoint_identity& endpoint);
+  void report_superseded(const endpoint_identity& endpoint);
 
   // This gateway knows the endpoints' records up to this change.
   void note_endpoints(std::uint64_t revision);
@@ -87,7 +87,7 @@
   rpc_pool& pool_;
   std::function<std::vector<std::string>()> receivers_;
   platform::gateway_entry own_;
-  news_policy policy_;
+  peer_notifier_policy policy_;
   news_handlers handlers_;
   std::set<endpoint_identity> failed_endpoints_;      // since the last batch
   std::set<endpoint_identity> superseded_endpoints_;  // likewise
--- a/include/trayrock/internal/gateway/peer_relays.h
+++ b/include/trayrock/internal/gateway/peer_relays.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "platform/gateway_registry.h"
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 #include "trayrock/internal/net/rpc.h"
 #include "trayrock/internal/records/record_client.h"
 
@@ -59,7 +59,7 @@
   event_loop& loop_;
   platform::gateway_registry& registry_;
   platform::gateway_entry own_;
-  relay_choice choice_;
+  relay_selector choice_;
   bool looking_ = false;
   bool known_ = false;
   std::function<void()> listed_;
--- a/include/trayrock/internal/gateway/platform_view.h
+++ b/include/trayrock/internal/gateway/platform_view.h
@@ -75,15 +75,15 @@
 
   // A request of this gateway failed at the endpoint, or found another
   // instance at its address.
-  void note_failure(const endpoint_identity& at) { news_.note_failure(at); }
-  void note_superseded(const endpoint_identity& at) {
-    news_.note_superseded(at);
+  void report_failure(const endpoint_identity& at) { news_.report_failure(at); }
+  void report_superseded(const endpoint_identity& at) {
+    news_.report_superseded(at);
   }
 
   peer_relays& relays() { return relays_; }
 
   // Asks a peer for nothing but an answer, which tells `heard`.
-  void ask_sign_of_life(std::function<void()> heard);
+  void probe_peer(std::function<void()> heard);
 
  private:
   void watch_endpoints();
@@ -100,11 +100,11 @@
   void take_group(const records::Group& group);
   void adopted(const configuration_document& held);
   void take_evacuations(const evacuation_list& held);
-  void apply(const records::EndpointChanges& said, const answer_times& times);
+  void apply(const records::EndpointChanges& said, const reply_times& times);
   std::uint64_t apply_listing(const records::EndpointChanges& said,
-                              const answer_times& times);
+                              const reply_times& times);
   std::uint64_t apply_changes(const records::EndpointChanges& said,
-                              const answer_times& times);
+                              const reply_times& times);
   void take_news(const records::EndpointNews& news);
   void pass_on(const records::EndpointNews& news);
   bool is_new(const records::EndpointNews& news);
@@ -113,8 +113,8 @@
   void note_start(const endpoint& listed);
   void share_cold_endpoints();
   void sweep();
-  answer_times answered_now() const;
-  answer_times told_now(const records::EndpointChanges& told) const;
+  reply_times answered_now() const;
+  reply_times told_now(const records::EndpointChanges& told) const;
 
   event_loop& loop_;
   rpc_pool& pool_;
--- a/include/trayrock/internal/gateway/request_flow.h
+++ b/include/trayrock/internal/gateway/request_flow.h
@@ -18,9 +18,9 @@
 #include <map>
 #include <string>
 
-#include "trayrock/internal/decide/duration_book.h"
-#include "trayrock/internal/decide/late_rule.h"
-#include "trayrock/internal/decide/program_sightings.h"
+#include "trayrock/internal/decide/duration_estimator.h"
+#include "trayrock/internal/decide/recent_programs.h"
+#include "trayrock/internal/decide/slow_endpoint_detector.h"
 #include "trayrock/internal/gateway/chain_cache.h"
 #include "trayrock/internal/gateway/configuration.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
@@ -43,9 +43,10 @@
   endpoint_directory& endpoints;
   chain_cache& chains;
   metrics_registry& metrics;
-  duration_book& durations;
-  std::map<std::string, late_rule, std::less<>>& late_rules;  // by service
-  program_sightings& programs;
+  duration_estimator& durations;
+  std::map<std::string, slow_endpoint_detector, std::less<>>&
+      late_rules;  // by service
+  recent_programs& programs;
   std::string data_centre;
   gateway_policy policy;
   std::function<configuration_ptr()> configuration;  // nullptr: none yet
--- a/include/trayrock/internal/gateway/request_report.h
+++ b/include/trayrock/internal/gateway/request_report.h
@@ -10,7 +10,7 @@
 #include <cstdint>
 #include <string>
 
-#include "trayrock/internal/gateway/request_facts.h"
+#include "trayrock/internal/gateway/request_metadata.h"
 #include "trayrock/internal/metrics.h"
 
 namespace trayrock {
@@ -35,7 +35,7 @@
   std::string outcome;
 };
 
-void report_request(metrics_registry& metrics, const request_facts& facts,
+void report_request(metrics_registry& metrics, const request_metadata& facts,
                     const request_report& ended);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/gateway/request_terms.h
+++ b/include/trayrock/internal/gateway/request_terms.h
@@ -19,9 +19,9 @@
 #include <string_view>
 
 #include "trayrock/errors.h"
-#include "trayrock/internal/decide/duration_book.h"
+#include "trayrock/internal/decide/duration_estimator.h"
 #include "trayrock/internal/gateway/configuration.h"
-#include "trayrock/internal/gateway/request_facts.h"
+#include "trayrock/internal/gateway/request_metadata.h"
 #include "trayrock/internal/net/http1_server.h"
 #include "trayrock/internal/net/loop.h"
 
@@ -33,18 +33,18 @@
   // errc::not_configured, errc::unknown_route, errc::missing_header or
   // errc::unknown_key; what was found until then is there for the report.
   std::optional<errc> find(configuration_ptr from, const http1_request& request,
-                           const request_facts& facts);
+                           const request_metadata& facts);
 
   // Whether the key still belongs to the same workspace in a configuration that
   // came into force while the request waited. Refused with errc::unknown_key.
   std::optional<errc> check_key(const configuration* now,
-                                const request_facts& facts) const;
+                                const request_metadata& facts) const;
 
   // Fits the request into the time of its client, of its route, and that which
   // is left until the process ends. Refused with errc::stopping. Called once
   // the route is found.
-  std::optional<errc> fit(const request_facts& facts,
-                          const duration_book& durations,
+  std::optional<errc> fit(const request_metadata& facts,
+                          const duration_estimator& durations,
                           milliseconds time_to_end);
 
   // nullptr until found.
@@ -61,7 +61,7 @@
 
   // Whether the request had to show a key.
   bool asks_for_key() const {
-    return from_->workspaces.has_value() && !route_->open_to_all;
+    return from_->workspaces.has_value() && !route_->is_public;
   }
 
   // nullptr where no key is asked for.
--- a/include/trayrock/internal/gateway/turn_history.h
+++ b/include/trayrock/internal/gateway/turn_history.h
@@ -27,7 +27,7 @@
 
 #include "trayrock/internal/gateway/chain_cache.h"
 #include "trayrock/internal/gateway/configuration.h"
-#include "trayrock/internal/gateway/request_facts.h"
+#include "trayrock/internal/gateway/request_metadata.h"
 #include "trayrock/internal/net/loop.h"
 #include "trayrock/internal/records/record_client.h"
 
@@ -46,7 +46,7 @@
   // All that is passed in outlives the object; callbacks that are passed in
   // later keep the object alive.
   turn_history(event_loop& loop, record_client& records, chain_cache& chains,
-               const request_facts& facts)
+               const request_metadata& facts)
       : loop_(loop), records_(records), chains_(chains), facts_(facts) {}
   turn_history(const turn_history&) = delete;
   turn_history& operator=(const turn_history&) = delete;
@@ -90,7 +90,7 @@
   event_loop& loop_;
   record_client& records_;
   chain_cache& chains_;
-  const request_facts& facts_;
+  const request_metadata& facts_;
   std::chrono::seconds retention_{0};
   // The names under which records are kept.
   std::string attempt_;
--- a/include/trayrock/internal/gateway/watch_follower.h
+++ b/include/trayrock/internal/gateway/watch_follower.h
@@ -83,7 +83,7 @@
   enum class role { starts, asks, watches };
 
   void step();
-  void act(const ask_watcher& asked);
+  void act(const poll_watcher& asked);
   void act(const watch_platform&);
   void act(const wait_for_peers&);
   void answered(const std::string& by, std::uint64_t asked_ms,
--- a/include/trayrock/internal/gateway/watch_server.h
+++ b/include/trayrock/internal/gateway/watch_server.h
@@ -18,7 +18,7 @@
 #include <functional>
 #include <list>
 
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 #include "trayrock/internal/gateway/watch_log.h"
 #include "trayrock/internal/net/loop.h"
 #include "trayrock/internal/net/rpc.h"
--- a/include/trayrock/internal/gateway/workspaces.h
+++ b/include/trayrock/internal/gateway/workspaces.h
@@ -33,7 +33,7 @@
 };
 
 struct workspace_keys {
-  workspace held;
+  workspace owner;
   std::vector<std::string> keys;
 };
 
--- a/include/trayrock/internal/node/journal.h
+++ b/include/trayrock/internal/node/journal.h
@@ -55,7 +55,7 @@
   // Calls back once everything added so far is stored in the platform.
   void when_stored(callback done);
 
-  void name_holder(const wire::CopyHolderNamed& holder);
+  void set_holder(const wire::CopyHolderNamed& holder);
   void drop_holder();
   // Nothing of this journal is left at any holder.
   bool holds_no_copies() const {
--- a/include/trayrock/internal/node/journal_loader.h
+++ b/include/trayrock/internal/node/journal_loader.h
@@ -14,7 +14,7 @@
 
 #include "trayrock/internal/cluster/cluster.h"
 #include "trayrock/internal/decide/journal_writer.h"
-#include "trayrock/internal/decide/tail_step.h"
+#include "trayrock/internal/decide/tail_recovery.h"
 #include "trayrock/internal/metrics.h"
 #include "trayrock/internal/net/rpc.h"
 #include "trayrock/internal/platform/platform_client.h"
@@ -41,12 +41,12 @@
   void read_segments();
   void read_segment(std::size_t index);
   void claim_tail();
-  void ask_holder();
+  void request_from_holder();
   void ask_old_owner(const std::string& address);
-  tail_answer take_answer(result<wire::CopyTail> tail);
-  void step_later(tail_answer answer);
-  void take_tail();
-  void go_on_without();
+  tail_reply take_answer(result<wire::CopyTail> tail);
+  void step_later(tail_reply answer);
+  void apply_tail();
+  void continue_without_tail();
   const wire::JournalRange& source() const { return sources_[at_]; }
 
   event_loop& loop_;
@@ -64,7 +64,7 @@
   std::size_t reading_ = 0;
   std::map<std::size_t, timer> retries_;
   journal_reader reader_;
-  tail_view tail_;
+  tail_state tail_;
   wire::CopyTail given_;
   std::vector<wire::Record> records_;
   std::vector<wire::CopyHolderNamed> claimed_;
--- a/include/trayrock/internal/node/owner.h
+++ b/include/trayrock/internal/node/owner.h
@@ -17,7 +17,7 @@
 
 #include "trayrock/internal/cluster/cluster.h"
 #include "trayrock/internal/decide/burn_windows.h"
-#include "trayrock/internal/decide/program_book.h"
+#include "trayrock/internal/decide/program_table.h"
 #include "trayrock/internal/decide/retry_budget.h"
 #include "trayrock/internal/decide/routing.h"
 #include "trayrock/internal/metrics.h"
@@ -81,8 +81,8 @@
   bool is_here(std::string_view program) const;
   std::uint32_t shard_for(std::string_view program) const;
   std::uint64_t term_for(std::uint32_t shard) const;
-  call_terms terms_for(const wire::CallRequest& request,
-                       const program_state* program) const;
+  call_settings terms_for(const wire::CallRequest& request,
+                          const program_state* program) const;
 
   // Writes a record and applies it.
   void write(wire::Record record, const std::string& program,
@@ -127,7 +127,7 @@
   metrics_registry& metrics_;
   owner_limits limits_;
   journal* journal_ = nullptr;
-  program_book book_;
+  program_table book_;
   std::set<std::uint32_t> served_;
   std::set<std::uint32_t> paused_;
   std::map<std::string, active_ptr> active_;
--- a/include/trayrock/internal/node/shard_keeper.h
+++ b/include/trayrock/internal/node/shard_keeper.h
@@ -18,7 +18,7 @@
 
 #include "trayrock/internal/cluster/cluster.h"
 #include "trayrock/internal/decide/balance.h"
-#include "trayrock/internal/decide/copy_keeper.h"
+#include "trayrock/internal/decide/copy_buffer.h"
 #include "trayrock/internal/metrics.h"
 #include "trayrock/internal/node/journal.h"
 #include "trayrock/internal/node/owner.h"
@@ -47,7 +47,7 @@
   void begin_drain() { draining_ = true; }
   bool drained() const;
 
-  const copy_keeper& copies() const { return copies_; }
+  const copy_buffer& copies() const { return copies_; }
 
  private:
   using map_change = std::function<wire::ShardMap(const wire::ShardMap&)>;
@@ -91,7 +91,7 @@
   platform_client& platform_;
   metrics_registry& metrics_;
   owner& owner_;
-  copy_keeper copies_;
+  copy_buffer copies_;
   std::unique_ptr<journal> journal_;
   std::unique_ptr<journal> old_journal_;
   std::uint64_t journals_opened_ = 0;
--- a/include/trayrock/internal/records/permit_client.h
+++ b/include/trayrock/internal/records/permit_client.h
@@ -30,7 +30,7 @@
 struct permit_wish {
   std::string workspace;
   request_limit limit;
-  permit_use use = permit_use::goes_on;
+  permit_use use = permit_use::regular;
 };
 
 struct permit {
--- a/include/trayrock/internal/records/permit_server.h
+++ b/include/trayrock/internal/records/permit_server.h
@@ -1,5 +1,5 @@
 // Gives out permits of workspaces whose rate is limited, and keeps on the disk
-// what it gave (decide/permit_book.h).
+// what it gave (decide/permit_limiter.h).
 //
 // A permit is answered at once as long as few of its workspace are not on the
 // disk yet; beyond that it waits for the disk, so that a loss of power takes no
@@ -22,7 +22,7 @@
 #include <vector>
 
 #include "records.pb.h"
-#include "trayrock/internal/decide/permit_book.h"
+#include "trayrock/internal/decide/permit_limiter.h"
 #include "trayrock/internal/metrics.h"
 #include "trayrock/internal/net/loop.h"
 #include "trayrock/internal/net/rpc.h"
@@ -77,7 +77,7 @@
 
   event_loop& loop_;
   metrics_registry& metrics_;
-  permit_book book_;
+  permit_limiter book_;
   permit_store store_;
   std::map<std::string, keeping> keeping_;
   bool disk_failed_ = false;
--- a/include/trayrock/internal/records/record_client.h
+++ b/include/trayrock/internal/records/record_client.h
@@ -47,8 +47,8 @@
   void use_relays(relay_source relays) { reach_.relays = std::move(relays); }
 
   // Whether stores and relays alike leave all calls unanswered. Others may tell
-  // it of what else they hear (decide/contact_rule.h).
-  contact_rule& contact() { return reach_.contact; }
+  // it of what else they hear (decide/isolation_detector.h).
+  isolation_detector& contact() { return reach_.contact; }
 
   // Takes a group unless a newer one is known.
   void adopt(const records::Group& group);
--- a/include/trayrock/internal/records/store_calls.h
+++ b/include/trayrock/internal/records/store_calls.h
@@ -18,8 +18,8 @@
 #include <string>
 
 #include "records.pb.h"
-#include "trayrock/internal/decide/contact_rule.h"
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/isolation_detector.h"
+#include "trayrock/internal/decide/relay_selector.h"
 #include "trayrock/internal/metrics.h"
 #include "trayrock/internal/net/rpc.h"
 #include "trayrock/internal/records/store_paths.h"
@@ -51,7 +51,7 @@
   metrics_registry& metrics;
   relay_source relays;
   store_paths paths;
-  contact_rule contact;
+  isolation_detector contact;
 
   // True while direct calls to the store stay unanswered.
   bool is_silent(const std::string& store) const;
--- a/include/trayrock/internal/records/store_membership_driver.h
+++ b/include/trayrock/internal/records/store_membership_driver.h
@@ -49,7 +49,7 @@
   membership_view view();
   void act(const do_nothing&) {}
   void act(const become_learner& learning);
-  void act(const take_place& place);
+  void act(const become_voter& place);
   void act(const leave_group&);
   void act(const finish_retirement&);
   void change(const records::Group& group, std::string_view what,
--- a/include/trayrock/internal/settings/service_settings.h
+++ b/include/trayrock/internal/settings/service_settings.h
@@ -7,7 +7,7 @@
 #include <optional>
 
 #include "trayrock/internal/decide/mechanism.h"
-#include "trayrock/internal/decide/permit_book.h"
+#include "trayrock/internal/decide/permit_limiter.h"
 #include "trayrock/internal/net/loop.h"
 #include "trayrock/internal/settings/settings.h"
 
--- a/src/cluster/cluster.cc
+++ b/src/cluster/cluster.cc
@@ -111,7 +111,7 @@
     made.mutable_self()->clear_loads();
     return made;
   }
-  for (wire::Peer& each : members_.news(entries_a_message)) {
+  for (wire::Peer& each : members_.next_updates(entries_a_message)) {
     each.clear_loads();
     *made.add_peers() = std::move(each);
   }
@@ -122,20 +122,20 @@
   members_.self().set_beat(members_.self().beat() + 1);
   const std::uint64_t now = loop_.now_ms();
   for (const wire::Peer& each :
-       members_.judge(now, settings_.suspect_after_ms)) {
+       members_.detect_failures(now, settings_.suspect_after_ms)) {
     log_warn("node_judged_gone",
              {{"node", each.node()}, {"start", each.start()}});
     if (gone_callback_) {
       gone_callback_(each);
     }
   }
-  for (const std::string& node : members_.watched()) {
+  for (const std::string& node : members_.watched_nodes()) {
     send_spread(members_.find(node)->peer.address(), true);
   }
   send_spread(random_peer(), false);
   share_platform_rate();
   metrics_.set("members", {},
-               static_cast<double>(members_.others().size() + 1));
+               static_cast<double>(members_.live_peers().size() + 1));
   metrics_.set("config_generation", {},
                static_cast<double>(config_.generation()));
   metrics_.set("map_version", {}, static_cast<double>(map_.version()));
@@ -149,23 +149,23 @@
   constexpr std::uint64_t alone_after_ms = 5000;
   const bool may_be_alone =
       settings_.seeds.empty() || loop_.now_ms() > started_ms_ + alone_after_ms;
-  if (members_.others().empty() && !may_be_alone) {
+  if (members_.live_peers().empty() && !may_be_alone) {
     return;
   }
   const double half =
       static_cast<double>(settings_.platform_calls_per_second) / 2;
   std::set<std::string> places{members_.self().place()};
-  for (const member_view* each : members_.others()) {
+  for (const peer_state* each : members_.live_peers()) {
     places.insert(each->peer.place());
   }
-  const auto known = static_cast<double>(members_.others().size() + 1);
+  const auto known = static_cast<double>(members_.live_peers().size() + 1);
   const auto watchers = static_cast<double>(2 * places.size());
   const double extra = members_.is_config_watcher() ? half / watchers : 0;
   platform_.set_rate(std::max(least_rate, half / known) + extra);
 }
 
 std::string cluster::random_peer() {
-  const std::vector<const member_view*> others = members_.others();
+  const std::vector<const peer_state*> others = members_.live_peers();
   // Seeds stay in the draw, so that halves of a cut find each other again.
   constexpr std::uint64_t seed_chance = 10;
   const bool seed = others.empty() || random_() % seed_chance == 0;
@@ -198,9 +198,9 @@
 
 void cluster::hear(const wire::Spread& news, const std::string& address) {
   const std::uint64_t now = loop_.now_ms();
-  bool notable = members_.hear(news.self(), now);
+  bool notable = members_.apply_update(news.self(), now);
   for (const wire::Peer& each : news.peers()) {
-    notable = members_.hear(each, now) || notable;
+    notable = members_.apply_update(each, now) || notable;
   }
   if (news.self().config_generation() > config_.generation()) {
     fetch_config(address);
@@ -293,26 +293,26 @@
 }
 
 bool cluster::box_gone(std::string_view node) const {
-  const auto found = config_.whole().boxes.find(node);
-  return found != config_.whole().boxes.end() && found->second.gone;
+  const auto found = config_.current().boxes.find(node);
+  return found != config_.current().boxes.end() && found->second.gone;
 }
 
 bool cluster::node_leaving(std::string_view node) const {
-  const auto found = config_.whole().boxes.find(node);
-  if (found != config_.whole().boxes.end() &&
+  const auto found = config_.current().boxes.find(node);
+  if (found != config_.current().boxes.end() &&
       (found->second.leaving || found->second.gone)) {
     return true;
   }
   if (node == members_.self().node()) {
     return leaving();
   }
-  const member_view* member = members_.find(node);
+  const peer_state* member = members_.find(node);
   return member != nullptr && (member->peer.leaving() || member->peer.gone());
 }
 
 std::string cluster::status_json(std::string_view program) const {
   nlohmann::json members = nlohmann::json::array();
-  for (const member_view* each : members_.others()) {
+  for (const peer_state* each : members_.live_peers()) {
     members.push_back({{"node", each->peer.node()},
                        {"start", each->peer.start()},
                        {"leaving", each->peer.leaving()},
--- a/src/cluster/config_watcher.cc
+++ b/src/cluster/config_watcher.cc
@@ -180,9 +180,9 @@
           if (slash == std::string::npos) {
             continue;
           }
-          const auto held = shared_.config_.held().find(
+          const auto held = shared_.config_.declarations().find(
               {rest.substr(0, slash), rest.substr(slash + 1)});
-          const bool known = held != shared_.config_.held().end() &&
+          const bool known = held != shared_.config_.declarations().end() &&
                              held->second.object_version() >= each.version;
           if (!known) {
             to_read_.push_back(each);
@@ -198,7 +198,7 @@
   for (const listed_object& each : listed.items) {
     present.insert(each.key);
   }
-  for (const auto& [key, each] : shared_.config_.held()) {
+  for (const auto& [key, each] : shared_.config_.declarations()) {
     const std::string object =
         std::string(config_prefix) + key.first + "/" + key.second;
     if (each.deleted() || key.first == "Box" || present.contains(object)) {
@@ -251,8 +251,8 @@
 void cluster::config_watcher::add_box_changes(wire::Generation& generation) {
   for (const box& each : boxes_) {
     wire::Declaration made = declare_box(each);
-    const auto held = shared_.config_.held().find({"Box", each.name});
-    const bool known = held != shared_.config_.held().end();
+    const auto held = shared_.config_.declarations().find({"Box", each.name});
+    const bool known = held != shared_.config_.declarations().end();
     if (known && held->second.json() == made.json()) {
       continue;
     }
@@ -270,7 +270,7 @@
     for (const wire::Declaration& each : generation.changes()) {
       changed.insert({each.kind(), each.name()});
     }
-    for (const auto& [key, each] : shared_.config_.held()) {
+    for (const auto& [key, each] : shared_.config_.declarations()) {
       if (!changed.contains(key)) {
         *generation.add_changes() = each;
       }
@@ -367,7 +367,7 @@
   const std::uint64_t generation = shared_.config_.generation();
   std::uint64_t in_force = 1;
   std::uint64_t all = 1;
-  for (const member_view* each : shared_.members_.others()) {
+  for (const peer_state* each : shared_.members_.live_peers()) {
     ++all;
     in_force += each->peer.config_generation() >= generation ? 1 : 0;
   }
--- a/src/decide/whole_events.cc
+++ b/src/decide/complete_event_buffer.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/whole_events.h"
+#include "trayrock/internal/decide/complete_event_buffer.h"
 
 #include <charconv>
 
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-std::string whole_events::add(std::string_view bytes) {
+std::string complete_event_buffer::add(std::string_view bytes) {
   std::string whole;
   while (!bytes.empty() && !repeated_) {
     const std::size_t end = bytes.find('\n');
@@ -52,7 +52,7 @@
   return whole;
 }
 
-void whole_events::end_line() {
+void complete_event_buffer::end_line() {
   const std::string_view line =
       content_of(std::string_view(pending_).substr(line_begin_));
   if (line.starts_with(id_field)) {
@@ -61,7 +61,7 @@
   line_begin_ = pending_.size();
 }
 
-void whole_events::end_event(std::string& whole) {
+void complete_event_buffer::end_event(std::string& whole) {
   if (goes_on_ && (!id_ || (last_id_ && *id_ <= *last_id_))) {
     repeated_ = true;
   } else {
@@ -73,7 +73,7 @@
   id_.reset();
 }
 
-void whole_events::begin_run() {
+void complete_event_buffer::begin_run() {
   pending_.clear();
   line_begin_ = 0;
   id_.reset();
--- a/src/decide/configuration_proof.cc
+++ b/src/decide/configuration_proof.cc
@@ -20,18 +20,19 @@
 
 }  // namespace
 
-void configuration_proof::shown(std::uint64_t sent_ms) {
+void configuration_proof::on_platform_response(std::uint64_t sent_ms) {
   proven_ms_ = std::max(proven_ms_.value_or(0), sent_ms);
 }
 
-void configuration_proof::told(std::uint64_t asked_ms, milliseconds age) {
+void configuration_proof::on_peer_reply(std::uint64_t asked_ms,
+                                        milliseconds age) {
   const auto length = static_cast<std::uint64_t>(age.count());
   if (length < asked_ms) {
-    shown(asked_ms - length);
+    on_platform_response(asked_ms - length);
   }
 }
 
-bool configuration_proof::holds(std::uint64_t now_ms) const {
+bool configuration_proof::is_valid(std::uint64_t now_ms) const {
   if (!limit_) {
     return true;
   }
@@ -39,7 +40,7 @@
   return held && *held + margin <= *limit_;
 }
 
-bool configuration_proof::is_ageing(std::uint64_t now_ms) const {
+bool configuration_proof::needs_refresh(std::uint64_t now_ms) const {
   if (!limit_) {
     return false;
   }
@@ -55,8 +56,8 @@
   return milliseconds(now_ms - std::min(*proven_ms_, now_ms));
 }
 
-milliseconds proving_wait(std::optional<milliseconds> limit,
-                          milliseconds usual) {
+milliseconds max_watch_wait(std::optional<milliseconds> limit,
+                            milliseconds usual) {
   return limit ? std::min(usual, *limit / waits_per_limit) : usual;
 }
 
--- a/src/decide/copy_keeper.cc
+++ b/src/decide/copy_buffer.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/copy_keeper.h"
+#include "trayrock/internal/decide/copy_buffer.h"
 
 #include "trayrock/errors.h"
 
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-copy_keeper::copy_keeper(std::string start, std::size_t limit_bytes)
+copy_buffer::copy_buffer(std::string start, std::size_t limit_bytes)
     : start_(std::move(start)), limit_bytes_(limit_bytes) {}
 
-wire::CopyAck copy_keeper::append(const wire::CopyAppend& message) {
+wire::CopyAck copy_buffer::append(const wire::CopyAppend& message) {
   wire::CopyAck ack;
   if (message.holder_start() != start_) {
     refuse(*ack.mutable_failure(), errc::wrong_start);
@@ -49,7 +49,7 @@
   return ack;
 }
 
-wire::CopyTail copy_keeper::claim(const wire::CopyClaim& message) {
+wire::CopyTail copy_buffer::claim(const wire::CopyClaim& message) {
   wire::CopyTail answer;
   if (message.holder_start() != start_) {
     answer.set_other_start(true);
@@ -65,7 +65,7 @@
   return answer;
 }
 
-std::vector<std::string> copy_keeper::journal_names() const {
+std::vector<std::string> copy_buffer::journal_names() const {
   std::vector<std::string> names;
   for (const auto& [name, each] : held_) {
     names.push_back(name);
@@ -73,7 +73,7 @@
   return names;
 }
 
-void copy_keeper::release(const std::string& journal) {
+void copy_buffer::release(const std::string& journal) {
   const auto found = held_.find(journal);
   if (found != held_.end()) {
     bytes_ -= found->second.bytes;
@@ -81,7 +81,7 @@
   }
 }
 
-void copy_keeper::drop_before(tail& from, std::uint64_t sequence) {
+void copy_buffer::drop_before(tail& from, std::uint64_t sequence) {
   while (!from.records.empty() && from.records.front().sequence() < sequence) {
     const std::size_t bytes = from.records.front().ByteSizeLong();
     from.bytes -= bytes;
--- a/src/decide/declarations.cc
+++ b/src/decide/declarations.cc
@@ -323,8 +323,8 @@
 }
 
 bool is_news(const config_store& accepted, const wire::Declaration& each) {
-  const auto held = accepted.held().find({each.kind(), each.name()});
-  if (held == accepted.held().end()) {
+  const auto held = accepted.declarations().find({each.kind(), each.name()});
+  if (held == accepted.declarations().end()) {
     return !each.deleted();
   }
   return held->second.object_version() < each.object_version() ||
@@ -337,7 +337,7 @@
                           const std::vector<wire::Declaration>& stored) {
   acceptance made;
   made.generation.set_number(accepted.generation() + 1);
-  configuration so_far = accepted.whole();
+  configuration so_far = accepted.current();
   std::vector<const wire::Declaration*> open;
   for (const wire::Declaration& each : stored) {
     if (is_news(accepted, each)) {
--- a/src/decide/duration_book.cc
+++ b/src/decide/duration_estimator.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/duration_book.h"
+#include "trayrock/internal/decide/duration_estimator.h"
 
 #include <algorithm>
 
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-void duration_book::add(std::string_view route,
-                        std::chrono::milliseconds taken) {
+void duration_estimator::add(std::string_view route,
+                             std::chrono::milliseconds taken) {
   auto held = routes_.find(route);
   if (held == routes_.end()) {
     held = routes_.emplace(route, samples{}).first;
@@ -25,7 +25,8 @@
   ++of_route.seen;
 }
 
-std::chrono::milliseconds duration_book::longest(std::string_view route) const {
+std::chrono::milliseconds duration_estimator::longest(
+    std::string_view route) const {
   const auto held = routes_.find(route);
   if (held == routes_.end() || held->second.seen < enough) {
     return unknown;
@@ -33,17 +34,17 @@
   return *std::max_element(held->second.last.begin(), held->second.last.end());
 }
 
-std::chrono::milliseconds duration_book::needed(std::string_view route,
-                                                stops_midway kind) const {
+std::chrono::milliseconds duration_estimator::needed(
+    std::string_view route, partial_delivery kind) const {
   return std::visit([&](const auto& by) { return needed_by(by, route, kind); },
                     estimate_);
 }
 
-std::chrono::milliseconds duration_book::needed_by(const by_recent_requests&,
-                                                   std::string_view route,
-                                                   stops_midway kind) const {
+std::chrono::milliseconds duration_estimator::needed_by(
+    const by_recent_requests&, std::string_view route,
+    partial_delivery kind) const {
   const std::chrono::milliseconds seen = longest(route);
-  if (kind == stops_midway::no) {
+  if (kind == partial_delivery::no) {
     return seen;
   }
   const std::chrono::milliseconds wide(
--- a/src/decide/endpoint_choice.cc
+++ b/src/decide/endpoint_choice.cc
@@ -67,7 +67,7 @@
   double usual_ms_ = assumed_latency_ms;
 };
 
-double load_of(const endpoint_state& at, const endpoint_choice& wanted,
+double load_of(const endpoint_state& at, const endpoint_criteria& wanted,
                const choice_policy& policy, const latency_scale& latencies,
                std::uint64_t now_ms) {
   double load = (at.in_flight + 1) * latencies.of(at) / at.record.capacity;
@@ -83,28 +83,29 @@
   return load;
 }
 
-bool usable(const endpoint_state& at, const endpoint_choice& wanted,
+bool usable(const endpoint_state& at, const endpoint_criteria& wanted,
             std::uint64_t now_ms) {
   const bool tried = wanted.excluded != nullptr &&
                      wanted.excluded->contains(at.record.identity);
   const bool over = at.kept_until_ms != 0 && at.kept_until_ms <= now_ms;
   return !at.record.draining && !at.superseded && !at.evacuated && !over &&
-         !tried && !at.takes_no_more(now_ms);
+         !tried && !at.is_cold_limit_reached(now_ms);
 }
 
 // An endpoint on trial gets one request at a time.
-bool trusted(const endpoint_state& at, const endpoint_choice& wanted,
+bool trusted(const endpoint_state& at, const endpoint_criteria& wanted,
              std::uint64_t now_ms) {
-  if (at.health.avoided(now_ms)) {
+  if (at.health.is_in_backoff(now_ms)) {
     return false;
   }
-  return !at.health.on_trial(now_ms) || (!wanted.once && at.in_flight == 0);
+  return !at.health.is_on_probation(now_ms) ||
+         (!wanted.at_most_once && at.in_flight == 0);
 }
 
 // Endpoints that have failed lately count only if too few others are left.
 std::vector<endpoint_state_ptr> candidates_of(
     std::span<const endpoint_state_ptr> of_service,
-    const endpoint_choice& wanted, std::uint64_t now_ms) {
+    const endpoint_criteria& wanted, std::uint64_t now_ms) {
   std::vector<endpoint_state_ptr> usable_ones;
   std::vector<endpoint_state_ptr> well;
   for (const endpoint_state_ptr& each : of_service) {
@@ -123,7 +124,7 @@
 // One of those with the least load; there is one at least.
 const endpoint_state_ptr& least_loaded(
     std::span<const endpoint_state_ptr> candidates,
-    const endpoint_choice& wanted, const choice_policy& policy,
+    const endpoint_criteria& wanted, const choice_policy& policy,
     const latency_scale& latencies, std::uint64_t now_ms) {
   std::vector<std::size_t> least;
   double least_load = 0;
@@ -138,7 +139,7 @@
     }
   }
   const std::size_t drawn =
-      policy.draws_among_equals ? wanted.draw % least.size() : 0;
+      policy.breaks_ties_randomly ? wanted.draw % least.size() : 0;
   return candidates[least[drawn]];
 }
 
@@ -154,14 +155,15 @@
 
 endpoint_state_ptr choose_endpoint(
     std::span<const endpoint_state_ptr> of_service,
-    const endpoint_choice& wanted, const choice_policy& policy,
+    const endpoint_criteria& wanted, const choice_policy& policy,
     std::uint64_t now_ms) {
   const std::vector<endpoint_state_ptr> candidates =
       candidates_of(of_service, wanted, now_ms);
   if (candidates.empty()) {
     return nullptr;
   }
-  const latency_scale latencies(candidates, policy.levels_latencies, now_ms);
+  const latency_scale latencies(candidates, policy.ignores_latency_noise,
+                                now_ms);
   const endpoint_state_ptr& least =
       least_loaded(candidates, wanted, policy, latencies, now_ms);
   const auto preferred =
--- a/src/decide/endpoint_health.cc
+++ b/src/decide/endpoint_health.cc
@@ -55,18 +55,18 @@
   return true;
 }
 
-void endpoint_health::answered(std::uint64_t now_ms) {
+void endpoint_health::record_response(std::uint64_t now_ms) {
   failures_in_row_ = 0;
   refusals_in_row_ = 0;
   answered_since_pause_ = answered_since_pause_ || !paused(now_ms);
 }
 
-bool endpoint_health::on_trial(std::uint64_t now_ms) const {
-  return policy_.tries_behind_pauses && !answered_since_pause_ &&
+bool endpoint_health::is_on_probation(std::uint64_t now_ms) const {
+  return policy_.has_probation_after_backoff && !answered_since_pause_ &&
          !paused(now_ms) && now_ms - avoided_until_ms_ < longest_trial_ms;
 }
 
-bool endpoint_health::failed(std::uint64_t now_ms) {
+bool endpoint_health::record_failure(std::uint64_t now_ms) {
   ++failures_in_row_;
   if (paused(now_ms)) {
     return false;
@@ -77,7 +77,8 @@
                       now_ms);
 }
 
-bool endpoint_health::reported(std::string_view gateway, std::uint64_t now_ms) {
+bool endpoint_health::record_peer_failure(std::string_view gateway,
+                                          std::uint64_t now_ms) {
   if (paused(now_ms)) {
     return false;
   }
@@ -91,8 +92,8 @@
   return avoid_if_due(evidence_ >= evidence_to_avoid, now_ms);
 }
 
-bool endpoint_health::refused(std::uint64_t now_ms) {
-  if (!policy_.pauses_after_refusals || avoided(now_ms)) {
+bool endpoint_health::record_refusal(std::uint64_t now_ms) {
+  if (!policy_.backs_off_after_refusals || is_in_backoff(now_ms)) {
     return false;
   }
   refused_until_ms_ = now_ms + (first_refusal_pause_ms << refusals_in_row_);
@@ -100,7 +101,7 @@
   return true;
 }
 
-bool endpoint_health::unreachable(std::uint64_t now_ms) {
+bool endpoint_health::record_unreachable(std::uint64_t now_ms) {
   ++failures_in_row_;
   return avoid_if_due(true, now_ms);
 }
--- a/src/decide/contact_rule.cc
+++ b/src/decide/isolation_detector.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/contact_rule.h"
+#include "trayrock/internal/decide/isolation_detector.h"
 
 #include <algorithm>
 
@@ -11,26 +11,26 @@
 constexpr std::uint64_t longest_silence_ms = 800;
 // A tick that is this late says that this process stood still, and what others
 // sent meanwhile is not read yet.
-constexpr std::uint64_t late_tick_ms = 4 * contact_rule::tick_period_ms;
+constexpr std::uint64_t late_tick_ms = 4 * isolation_detector::tick_period_ms;
 
 }  // namespace
 
-void contact_rule::asked(std::uint64_t now_ms) {
+void isolation_detector::on_request_sent(std::uint64_t now_ms) {
   if (unanswered_since_ms_ == 0) {
     unanswered_since_ms_ = std::max<std::uint64_t>(now_ms, 1);
   }
 }
 
-void contact_rule::heard() {
+void isolation_detector::on_reply() {
   unanswered_since_ms_ = 0;
   cut_off_since_ms_ = 0;
 }
 
-void contact_rule::tick(std::uint64_t now_ms) {
+void isolation_detector::tick(std::uint64_t now_ms) {
   const bool stood_still =
       ticked_at_ms_ != 0 && now_ms - ticked_at_ms_ >= late_tick_ms;
   ticked_at_ms_ = now_ms;
-  if (unanswered_since_ms_ == 0 || cut_off()) {
+  if (unanswered_since_ms_ == 0 || is_isolated()) {
     return;
   }
   if (stood_still) {
--- a/src/decide/journal_writer.cc
+++ b/src/decide/journal_writer.cc
@@ -17,8 +17,8 @@
   return sequence;
 }
 
-void journal_writer::name_holder(const wire::CopyHolderNamed& holder,
-                                 std::uint64_t now_ms) {
+void journal_writer::set_holder(const wire::CopyHolderNamed& holder,
+                                std::uint64_t now_ms) {
   drop_holder();
   wire::Record record;
   *record.mutable_copy_holder() = holder;
@@ -140,9 +140,9 @@
   }
 }
 
-journal_actions journal_writer::put_answered(std::uint64_t number,
-                                             put_outcome outcome,
-                                             std::uint64_t now_ms) {
+journal_actions journal_writer::on_put_result(std::uint64_t number,
+                                              put_outcome outcome,
+                                              std::uint64_t now_ms) {
   journal_actions actions;
   if (sealed_ || !write_.has_value() || write_->number != number) {
     return actions;
@@ -159,7 +159,7 @@
   return actions;
 }
 
-journal_actions journal_writer::read_answered(
+journal_actions journal_writer::on_read_result(
     std::uint64_t number, const std::optional<wire::Segment>& found,
     std::uint64_t now_ms) {
   journal_actions actions;
@@ -183,7 +183,7 @@
   return actions;
 }
 
-void journal_writer::read_failed(std::uint64_t now_ms) {
+void journal_writer::on_read_failed(std::uint64_t now_ms) {
   if (write_.has_value() && write_->state == write_state::reading) {
     write_->state = write_state::uncertain;
     write_->next_try_ms = now_ms + options_.retry_pause_ms;
@@ -202,7 +202,7 @@
   raise_acknowledged(stored_up_to_, actions);
 }
 
-journal_actions journal_writer::copy_answered(std::uint64_t held_up_to) {
+journal_actions journal_writer::on_copy_ack(std::uint64_t held_up_to) {
   journal_actions actions;
   copy_under_way_ = false;
   if (sealed_ || !holder_is_usable()) {
@@ -213,7 +213,7 @@
   return actions;
 }
 
-void journal_writer::copy_failed(std::uint64_t now_ms) {
+void journal_writer::on_copy_failed(std::uint64_t now_ms) {
   copy_under_way_ = false;
   next_copy_ms_ = now_ms + options_.retry_pause_ms;
 }
@@ -234,11 +234,11 @@
   return made;
 }
 
-std::vector<wire::Record> journal_reader::take(const wire::Segment& segment) {
-  return take_tail({segment.records().begin(), segment.records().end()});
+std::vector<wire::Record> journal_reader::read(const wire::Segment& segment) {
+  return read_tail({segment.records().begin(), segment.records().end()});
 }
 
-std::vector<wire::Record> journal_reader::take_tail(
+std::vector<wire::Record> journal_reader::read_tail(
     const std::vector<wire::Record>& records) {
   std::vector<wire::Record> fresh;
   for (const wire::Record& each : records) {
--- a/src/decide/mechanism.cc
+++ b/src/decide/mechanism.cc
@@ -37,7 +37,7 @@
 
 std::span<const std::string_view> mechanism_names() { return names; }
 
-std::optional<mechanism> mechanism_named(std::string_view name) {
+std::optional<mechanism> parse_mechanism(std::string_view name) {
   const auto found = std::find(names.begin(), names.end(), name);
   if (found == names.end()) {
     return std::nullopt;
--- a/src/decide/membership.cc
+++ b/src/decide/membership.cc
@@ -18,12 +18,12 @@
 
 membership::membership(wire::Peer self) : self_(std::move(self)) {}
 
-bool membership::hear(const wire::Peer& news, std::uint64_t now_ms) {
+bool membership::apply_update(const wire::Peer& news, std::uint64_t now_ms) {
   if (news.node().empty() || news.node() == self_.node()) {
     return false;
   }
   const auto [place, unknown] = members_.try_emplace(news.node());
-  member_view& held = place->second;
+  peer_state& held = place->second;
   const bool restarted = !unknown && held.peer.start() != news.start();
   if (restarted && news.gone()) {
     return false;
@@ -51,8 +51,8 @@
   return notable;
 }
 
-std::vector<wire::Peer> membership::judge(std::uint64_t now_ms,
-                                          std::uint64_t suspect_after_ms) {
+std::vector<wire::Peer> membership::detect_failures(
+    std::uint64_t now_ms, std::uint64_t suspect_after_ms) {
   const bool was_paused =
       judged_ms_ != 0 && now_ms - judged_ms_ > suspect_after_ms / 2;
   judged_ms_ = now_ms;
@@ -63,8 +63,8 @@
     }
     return newly_gone;
   }
-  for (const std::string& name : watched()) {
-    member_view& each = members_.find(name)->second;
+  for (const std::string& name : watched_nodes()) {
+    peer_state& each = members_.find(name)->second;
     if (each.progress_ms + suspect_after_ms < now_ms) {
       each.peer.set_gone(true);
       fresh_.push_back(name);
@@ -74,8 +74,8 @@
   return newly_gone;
 }
 
-std::vector<const member_view*> membership::others() const {
-  std::vector<const member_view*> made;
+std::vector<const peer_state*> membership::live_peers() const {
+  std::vector<const peer_state*> made;
   for (const auto& [name, each] : members_) {
     if (!each.peer.gone()) {
       made.push_back(&each);
@@ -98,7 +98,7 @@
   return made;
 }
 
-const member_view* membership::find(std::string_view node) const {
+const peer_state* membership::find(std::string_view node) const {
   const auto found = members_.find(node);
   return found == members_.end() ? nullptr : &found->second;
 }
@@ -135,7 +135,7 @@
   return std::nullopt;
 }
 
-std::vector<std::string> membership::watched() const {
+std::vector<std::string> membership::watched_nodes() const {
   std::vector<std::string> made;
   if (self_.entry()) {
     return made;
@@ -170,7 +170,7 @@
   return before < config_watchers_a_place;
 }
 
-std::vector<wire::Peer> membership::news(std::size_t count) {
+std::vector<wire::Peer> membership::next_updates(std::size_t count) {
   std::vector<wire::Peer> made;
   while (!fresh_.empty() && made.size() < count / 2) {
     const auto found = members_.find(fresh_.back());
--- a/src/decide/permit_book.cc
+++ b/src/decide/permit_limiter.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/permit_book.h"
+#include "trayrock/internal/decide/permit_limiter.h"
 
 #include <xxhash.h>
 
@@ -93,24 +93,24 @@
 // ---- All
 // ---------------------------------------------------------------------
 
-std::uint64_t permit_book::slot_ms() const {
+std::uint64_t permit_limiter::slot_ms() const {
   return std::max<std::uint64_t>(
       static_cast<std::uint64_t>(terms_.window.count()) / permit_window::slots,
       1);
 }
 
 // The first slots of the clock are left free for what was given before it.
-std::uint64_t permit_book::slot_of(std::uint64_t now_ms) const {
+std::uint64_t permit_limiter::slot_of(std::uint64_t now_ms) const {
   return now_ms / slot_ms() + permit_window::slots + 1;
 }
 
 // A window and the slot in which it begins.
-std::uint64_t permit_book::window_end_ms(std::uint64_t now_ms) const {
+std::uint64_t permit_limiter::window_end_ms(std::uint64_t now_ms) const {
   return now_ms + static_cast<std::uint64_t>(terms_.window.count()) + slot_ms();
 }
 
-void permit_book::begin(std::vector<std::string> stores,
-                        const std::string& own) {
+void permit_limiter::begin(std::vector<std::string> stores,
+                           const std::string& own) {
   std::sort(stores.begin(), stores.end());
   const auto at = std::find(stores.begin(), stores.end(), own);
   division_ = at == stores.end()
@@ -119,9 +119,9 @@
                              static_cast<std::size_t>(at - stores.begin())};
 }
 
-void permit_book::restore(std::string_view workspace,
-                          std::vector<std::uint32_t> counts,
-                          std::uint64_t now_ms) {
+void permit_limiter::restore(std::string_view workspace,
+                             std::vector<std::uint32_t> counts,
+                             std::uint64_t now_ms) {
   permit_window& window = held_[std::string(workspace)].window;
   window = permit_window();  // a log may show what has been replaced since
   const std::uint64_t now = slot_of(now_ms);
@@ -131,8 +131,8 @@
   }
 }
 
-void permit_book::set_stores(std::vector<std::string> stores,
-                             const std::string& own, std::uint64_t now_ms) {
+void permit_limiter::set_stores(std::vector<std::string> stores,
+                                const std::string& own, std::uint64_t now_ms) {
   std::erase_if(former_, [now_ms](const former_division& each) {
     return each.until_ms <= now_ms;
   });
@@ -147,17 +147,17 @@
 
 // Whole permits; those that are left over go to stores in an order of each
 // workspace's own.
-std::uint64_t permit_book::part_of(std::uint64_t all,
-                                   std::string_view workspace,
-                                   const division& by) {
+std::uint64_t permit_limiter::part_of(std::uint64_t all,
+                                      std::string_view workspace,
+                                      const division& by) {
   const std::uint64_t turned =
       (by.place + XXH3_64bits(workspace.data(), workspace.size())) % by.stores;
   return all / by.stores + (turned < all % by.stores ? 1 : 0);
 }
 
-std::uint64_t permit_book::share_of(std::string_view workspace,
-                                    const request_limit& limit,
-                                    std::uint64_t now_ms) const {
+std::uint64_t permit_limiter::share_of(std::string_view workspace,
+                                       const request_limit& limit,
+                                       std::uint64_t now_ms) const {
   const std::uint64_t all = requests_in_window(limit, terms_);
   std::uint64_t share = part_of(all, workspace, division_);
   for (const former_division& each : former_) {
@@ -168,9 +168,9 @@
   return share;
 }
 
-permit_verdict permit_book::acquire(std::string_view workspace,
-                                    const request_limit& limit, permit_use use,
-                                    std::uint64_t now_ms) {
+permit_verdict permit_limiter::acquire(std::string_view workspace,
+                                       const request_limit& limit,
+                                       permit_use use, std::uint64_t now_ms) {
   if (division_.stores == 0 || now_ms < closed_until_ms_) {
     const std::uint64_t left =
         now_ms < closed_until_ms_ ? closed_until_ms_ - now_ms : slot_ms();
@@ -200,21 +200,21 @@
   return permit_refused{milliseconds(next_ms)};
 }
 
-void permit_book::give_back(std::string_view workspace, std::uint64_t slot) {
+void permit_limiter::give_back(std::string_view workspace, std::uint64_t slot) {
   const auto held = held_.find(workspace);
   if (held != held_.end()) {
     held->second.window.take_back(slot);
   }
 }
 
-std::vector<std::uint32_t> permit_book::counts(std::string_view workspace,
-                                               std::uint64_t now_ms) {
+std::vector<std::uint32_t> permit_limiter::counts(std::string_view workspace,
+                                                  std::uint64_t now_ms) {
   const auto held = held_.find(workspace);
   return held == held_.end() ? std::vector<std::uint32_t>()
                              : held->second.window.counts(slot_of(now_ms));
 }
 
-std::uint64_t permit_book::most_unsynced(std::string_view workspace) const {
+std::uint64_t permit_limiter::max_unsynced(std::string_view workspace) const {
   const auto held = held_.find(workspace);
   if (held == held_.end() || division_.stores == 0) {
     return 1;
@@ -225,7 +225,7 @@
   return 1 + static_cast<std::uint64_t>(share * unsynced_share);
 }
 
-std::vector<std::string> permit_book::drop_unused(std::uint64_t now_ms) {
+std::vector<std::string> permit_limiter::drop_unused(std::uint64_t now_ms) {
   std::vector<std::string> dropped;
   const std::uint64_t now = slot_of(now_ms);
   for (auto each = held_.begin(); each != held_.end();) {
--- a/src/decide/program_book.cc
+++ b/src/decide/program_table.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/program_book.h"
+#include "trayrock/internal/decide/program_table.h"
 
 #include <algorithm>
 
@@ -81,18 +81,19 @@
   return made;
 }
 
-const program_state* program_book::find(std::string_view program) const {
+const program_state* program_table::find(std::string_view program) const {
   const auto found = programs_.find(std::string(program));
   return found == programs_.end() ? nullptr : &found->second;
 }
 
-program_state* program_book::find_mutable(std::string_view program) {
+program_state* program_table::find_mutable(std::string_view program) {
   const auto found = programs_.find(std::string(program));
   return found == programs_.end() ? nullptr : &found->second;
 }
 
-std::variant<const program_state*, wire::Failure> program_book::find_for(
-    std::string_view program, std::string_view member) const {
+std::variant<const program_state*, wire::Failure>
+program_table::find_for_workspace(std::string_view program,
+                                  std::string_view member) const {
   const program_state* found = find(program);
   if (found == nullptr) {
     return make_failure(errc::unknown_program, wire::RAN_NO);
@@ -103,7 +104,7 @@
   return found;
 }
 
-wire::Failure program_book::check_open(const wire::ProgramSpec& spec) const {
+wire::Failure program_table::check_open(const wire::ProgramSpec& spec) const {
   const program_state* held = find(spec.id());
   if (held != nullptr && held->spec.member() != spec.member()) {
     return make_failure(errc::wrong_member, wire::RAN_NO);
@@ -124,10 +125,11 @@
   return {};
 }
 
-call_decision program_book::admit(const wire::CallRequest& request,
-                                  const call_terms& terms,
-                                  std::uint64_t now_ms) const {
-  const auto looked_up = find_for(request.program(), request.member());
+call_decision program_table::admit(const wire::CallRequest& request,
+                                   const call_settings& terms,
+                                   std::uint64_t now_ms) const {
+  const auto looked_up =
+      find_for_workspace(request.program(), request.member());
   if (const auto* failure = std::get_if<wire::Failure>(&looked_up)) {
     return refuse_call{*failure};
   }
@@ -189,9 +191,9 @@
   return start_call{std::move(intent)};
 }
 
-wire::Failure program_book::check_budget(const program_state& program,
-                                         std::uint64_t tokens,
-                                         std::uint64_t now_ms) const {
+wire::Failure program_table::check_budget(const program_state& program,
+                                          std::uint64_t tokens,
+                                          std::uint64_t now_ms) const {
   const program_state* root = find(root_of(program.spec.id()));
   for (const program_state* each : {&program, root}) {
     if (each == nullptr) {
@@ -219,7 +221,7 @@
   return {};
 }
 
-void program_book::apply(const wire::Record& record) {
+void program_table::apply(const wire::Record& record) {
   switch (record.body_case()) {
     case wire::Record::kOpened: {
       const wire::ProgramSpec& spec = record.opened();
@@ -248,7 +250,7 @@
   }
 }
 
-std::vector<program_state*> program_book::chargeable(program_state& program) {
+std::vector<program_state*> program_table::chargeable(program_state& program) {
   std::vector<program_state*> made{&program};
   program_state* root = find_mutable(root_of(program.spec.id()));
   if (root != nullptr && root != &program) {
@@ -257,8 +259,8 @@
   return made;
 }
 
-void program_book::reserve(program_state& program,
-                           const wire::CallIntent& intent, bool give_back) {
+void program_table::reserve(program_state& program,
+                            const wire::CallIntent& intent, bool give_back) {
   for (program_state* each : chargeable(program)) {
     if (give_back) {
       each->reserved_tokens -= intent.reserved_tokens();
@@ -270,14 +272,14 @@
   }
 }
 
-void program_book::charge(program_state& program, std::uint64_t tokens) {
+void program_table::charge(program_state& program, std::uint64_t tokens) {
   for (program_state* each : chargeable(program)) {
     each->used_tokens += tokens;
     each->used_calls += 1;
   }
 }
 
-void program_book::apply_intent(const wire::CallIntent& intent) {
+void program_table::apply_intent(const wire::CallIntent& intent) {
   program_state* program = find_mutable(intent.program());
   if (program == nullptr) {
     return;
@@ -299,7 +301,7 @@
   }
 }
 
-void program_book::apply_outcome(const wire::CallOutcome& outcome) {
+void program_table::apply_outcome(const wire::CallOutcome& outcome) {
   program_state* program = find_mutable(outcome.program());
   if (program == nullptr || !program->in_call() ||
       program->turns.back().intent.sequence() != outcome.sequence()) {
@@ -332,7 +334,7 @@
   }
 }
 
-void program_book::apply_snapshot(const wire::ProgramSnapshot& snapshot) {
+void program_table::apply_snapshot(const wire::ProgramSnapshot& snapshot) {
   program_state& program = programs_[snapshot.spec().id()];
   program = program_state{};
   program.spec = snapshot.spec();
@@ -360,8 +362,8 @@
   }
 }
 
-wire::Record program_book::snapshot(const program_state& program,
-                                    std::uint32_t shard) {
+wire::Record program_table::snapshot(const program_state& program,
+                                     std::uint32_t shard) {
   wire::Record record;
   record.set_shard(shard);
   wire::ProgramSnapshot& made = *record.mutable_snapshot();
@@ -379,7 +381,7 @@
   return record;
 }
 
-std::vector<const program_state*> program_book::in_shard(
+std::vector<const program_state*> program_table::in_shard(
     std::uint32_t shard, std::uint32_t shards) const {
   std::vector<const program_state*> made;
   for (const auto& [id, each] : programs_) {
@@ -395,7 +397,7 @@
   return made;
 }
 
-std::vector<std::string> program_book::ids() const {
+std::vector<std::string> program_table::ids() const {
   std::vector<std::string> made;
   made.reserve(programs_.size());
   for (const auto& [id, each] : programs_) {
@@ -404,7 +406,7 @@
   return made;
 }
 
-void program_book::forget(std::string_view program) {
+void program_table::remove(std::string_view program) {
   programs_.erase(std::string(program));
 }
 
--- a/src/decide/program_sightings.cc
+++ b/src/decide/recent_programs.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/program_sightings.h"
+#include "trayrock/internal/decide/recent_programs.h"
 
 #include <xxhash.h>
 
@@ -14,20 +14,20 @@
 
 }  // namespace
 
-void program_sightings::note(std::string_view program, std::uint64_t now_ms) {
+void recent_programs::record(std::string_view program, std::uint64_t now_ms) {
   forget_old(now_ms);
   const std::uint64_t hash = hash_of(program);
   last_ms_[hash] = now_ms;
   order_.push_back({now_ms, hash});
 }
 
-bool program_sightings::knows(std::string_view program,
-                              std::uint64_t now_ms) const {
+bool recent_programs::contains(std::string_view program,
+                               std::uint64_t now_ms) const {
   const auto found = last_ms_.find(hash_of(program));
   return found != last_ms_.end() && found->second + life_ms >= now_ms;
 }
 
-void program_sightings::forget_old(std::uint64_t now_ms) {
+void recent_programs::forget_old(std::uint64_t now_ms) {
   while (!order_.empty() && order_.front().at_ms + life_ms < now_ms) {
     const auto held = last_ms_.find(order_.front().hash);
     if (held != last_ms_.end() && held->second == order_.front().at_ms) {
--- a/src/decide/lapse_rule.cc
+++ b/src/decide/record_expiry.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/lapse_rule.h"
+#include "trayrock/internal/decide/record_expiry.h"
 
 #include <algorithm>
 
@@ -20,29 +20,29 @@
 
 // Whether the last call that was not served tells when the platform was away:
 // records that go in the midst of answered calls say so by themselves.
-bool tells_of_absence(absence how, const answer_times& times,
+bool tells_of_absence(missing_cause how, const reply_times& times,
                       std::uint64_t reconnect_ms) {
-  const bool lately = times.unserved_ms + reconnect_ms > times.now_ms;
-  return times.unserved_ms != 0 &&
-         (lately || how == absence::listed_after_loss);
+  const bool lately = times.last_failed_call_ms + reconnect_ms > times.now_ms;
+  return times.last_failed_call_ms != 0 &&
+         (lately || how == missing_cause::absent_after_outage);
 }
 
 }  // namespace
 
-std::uint64_t kept_until_ms(absence how, const answer_times& times,
+std::uint64_t kept_until_ms(missing_cause how, const reply_times& times,
                             std::uint64_t reconnect_ms) {
   std::uint64_t until = times.now_ms + return_grace_ms;
-  if (times.told_until_ms != 0) {
-    return std::min(until, times.told_until_ms);
+  if (times.peer_keeps_until_ms != 0) {
+    return std::min(until, times.peer_keeps_until_ms);
   }
   if (tells_of_absence(how, times, reconnect_ms)) {
-    until =
-        std::min(until, times.unserved_ms + reconnect_ms - reconnect_margin_ms);
+    until = std::min(
+        until, times.last_failed_call_ms + reconnect_ms - reconnect_margin_ms);
   }
   return until;
 }
 
-bool lapsed_at_once(std::size_t removed, std::size_t known) {
+bool is_mass_expiry(std::size_t removed, std::size_t known) {
   return known >= least_records &&
          static_cast<double>(removed) >=
              static_cast<double>(known) * lapsed_share;
--- a/src/decide/relay_choice.cc
+++ b/src/decide/relay_selector.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 
 #include <xxhash.h>
 
@@ -22,11 +22,12 @@
 
 }  // namespace
 
-relay_choice::relay_choice(std::string own_name, std::string own_data_centre)
+relay_selector::relay_selector(std::string own_name,
+                               std::string own_data_centre)
     : own_name_(std::move(own_name)),
       own_data_centre_(std::move(own_data_centre)) {}
 
-void relay_choice::replace(const std::vector<relay_peer>& peers) {
+void relay_selector::replace(const std::vector<relay_peer>& peers) {
   std::vector<state> listed;
   for (const relay_peer& each : peers) {
     if (each.name == own_name_ || each.address.empty()) {
@@ -39,7 +40,7 @@
 }
 
 // What is known of the peer, and nothing of a new one.
-relay_choice::state relay_choice::state_of(const relay_peer& peer) {
+relay_selector::state relay_selector::state_of(const relay_peer& peer) {
   const state* known = find(peer.address);
   state made = known == nullptr ? state{} : *known;
   made.peer = peer;
@@ -48,14 +49,14 @@
   return made;
 }
 
-void relay_choice::sort() {
+void relay_selector::sort() {
   std::sort(peers_.begin(), peers_.end(),
             [](const state& left, const state& right) {
               return left.order < right.order;
             });
 }
 
-void relay_choice::add(const relay_peer& peer) {
+void relay_selector::add(const relay_peer& peer) {
   if (peer.name == own_name_ || peer.address.empty()) {
     return;
   }
@@ -71,7 +72,7 @@
   sort();
 }
 
-std::vector<relay_peer> relay_choice::peers() const {
+std::vector<relay_peer> relay_selector::peers() const {
   std::vector<relay_peer> made;
   for (const state& each : peers_) {
     made.push_back(each.peer);
@@ -79,8 +80,8 @@
   return made;
 }
 
-bool relay_choice::better(const state& left, const state& right,
-                          std::uint64_t now_ms) const {
+bool relay_selector::better(const state& left, const state& right,
+                            std::uint64_t now_ms) const {
   const bool left_avoided = left.avoided_until_ms > now_ms;
   const bool right_avoided = right.avoided_until_ms > now_ms;
   if (left_avoided != right_avoided) {
@@ -100,7 +101,7 @@
   return left.order < right.order;
 }
 
-std::string relay_choice::pick(std::uint64_t now_ms) const {
+std::string relay_selector::pick(std::uint64_t now_ms) const {
   const auto best = std::min_element(
       peers_.begin(), peers_.end(), [&](const state& left, const state& right) {
         return better(left, right, now_ms);
@@ -108,20 +109,21 @@
   return best == peers_.end() ? std::string() : best->peer.address;
 }
 
-bool relay_choice::exhausted(std::uint64_t now_ms) const {
+bool relay_selector::all_in_backoff(std::uint64_t now_ms) const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const state& each) {
     return each.avoided_until_ms > now_ms;
   });
 }
 
-relay_choice::state* relay_choice::find(std::string_view address) {
+relay_selector::state* relay_selector::find(std::string_view address) {
   const auto found = std::find_if(
       peers_.begin(), peers_.end(),
       [&](const state& each) { return each.peer.address == address; });
   return found == peers_.end() ? nullptr : &*found;
 }
 
-void relay_choice::passed_on(std::string_view address, std::uint64_t now_ms) {
+void relay_selector::record_success(std::string_view address,
+                                    std::uint64_t now_ms) {
   state* const peer = find(address);
   if (peer == nullptr) {
     return;
@@ -131,8 +133,8 @@
   peer->failures_in_row = 0;
 }
 
-void relay_choice::failed(std::string_view address, relay_failure how,
-                          std::uint64_t now_ms) {
+void relay_selector::record_failure(std::string_view address, relay_failure how,
+                                    std::uint64_t now_ms) {
   state* const peer = find(address);
   if (peer == nullptr || peer->avoided_until_ms > now_ms) {
     return;
--- a/src/decide/request_table.cc
+++ b/src/decide/request_table.cc
@@ -9,31 +9,31 @@
   return {request.program(), request.sequence(), request.attempt()};
 }
 
-table_verdict request_table::arrive(const wire::ExecuteRequest& request,
-                                    std::uint64_t now_ms) {
+request_decision request_table::register_request(
+    const wire::ExecuteRequest& request, std::uint64_t now_ms) {
   if (request.target_start() != start_) {
-    return table_verdict::refuse_start;
+    return request_decision::refuse_start;
   }
   if (!accept_term(request.shard(), request.term())) {
-    return table_verdict::refuse_term;
+    return request_decision::refuse_term;
   }
   const auto held = floors_.find(request.program());
   if (held != floors_.end() && request.sequence() < held->second.sequence) {
-    return table_verdict::refuse_past;
+    return request_decision::refuse_stale;
   }
   raise_floor(request.program(), request.sequence(), now_ms);
   const auto [place, unseen] = entries_.try_emplace(key_of(request));
   if (!unseen) {
-    return table_verdict::attach;
+    return request_decision::attach;
   }
   place->second.changed_ms = now_ms;
   place->second.repeatable = request.repeatable();
   if (request.attach_only()) {
     place->second.state = request_state::tombstone;
     place->second.failure = make_failure(errc::runner_failed, wire::RAN_NO);
-    return table_verdict::attach;
+    return request_decision::attach;
   }
-  return table_verdict::run;
+  return request_decision::run;
 }
 
 request_entry* request_table::find(const request_key& key) {
--- a/src/decide/return_time.cc
+++ b/src/decide/retry_after.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 
 #include <algorithm>
 
@@ -21,7 +21,7 @@
 // An outage of the platform leaves keys without service for as long.
 constexpr milliseconds until_served_again{1500};
 
-milliseconds time_by(const always_at_once&, const drain_view&) {
+milliseconds time_by(const always_immediate&, const drain_view&) {
   return at_once;
 }
 
@@ -38,17 +38,18 @@
 
 }  // namespace
 
-milliseconds return_time(const drain_view& view, return_rule rule) {
+milliseconds retry_after_delay(const drain_view& view,
+                               retry_after_policy rule) {
   return std::visit([&](const auto& by) { return time_by(by, view); }, rule);
 }
 
-milliseconds return_time_when_cut_off(milliseconds cut_off_for) {
+milliseconds retry_after_when_isolated(milliseconds cut_off_for) {
   return std::max(balancer_notice - cut_off_for, at_once);
 }
 
-milliseconds return_time_when_unproven() { return until_served_again; }
+milliseconds retry_after_when_config_stale() { return until_served_again; }
 
-milliseconds return_time_at_limit(milliseconds next) {
+milliseconds retry_after_at_limit(milliseconds next) {
   return std::clamp(next, shortest_at_limit, longest_at_limit);
 }
 
--- a/src/decide/routing.cc
+++ b/src/decide/routing.cc
@@ -89,7 +89,8 @@
 
 }  // namespace
 
-routing_policy routing_by_name(std::string_view name, double cache_weight) {
+routing_policy parse_routing_policy(std::string_view name,
+                                    double cache_weight) {
   if (name == "round_robin") {
     return round_robin{};
   }
--- a/src/decide/runner_queue.cc
+++ b/src/decide/runner_queue.cc
@@ -66,7 +66,7 @@
   return taken;
 }
 
-void runner_queue::ended(std::uint64_t took_ms) {
+void runner_queue::on_finished(std::uint64_t took_ms) {
   running_ -= running_ > 0 ? 1 : 0;
   const auto took = static_cast<double>(took_ms);
   typical_ms_ = typical_ms_ == 0
--- a/src/decide/shard_map.cc
+++ b/src/decide/shard_map.cc
@@ -85,7 +85,8 @@
   return owned;
 }
 
-wire::ShardMap first_map(std::uint32_t shards, const shard_owner& owner) {
+wire::ShardMap make_initial_map(std::uint32_t shards,
+                                const shard_owner& owner) {
   wire::ShardMap made;
   made.set_shards(shards);
   for (std::uint32_t shard = 0; shard < shards; ++shard) {
@@ -96,10 +97,10 @@
   return finish(std::move(made), true);
 }
 
-wire::ShardMap with_sealed_moved(const wire::ShardMap& stored,
-                                 const std::string& sealed_journal,
-                                 std::uint64_t end_segment,
-                                 const shard_owner& to) {
+wire::ShardMap reassign_sealed_shards(const wire::ShardMap& stored,
+                                      const std::string& sealed_journal,
+                                      std::uint64_t end_segment,
+                                      const shard_owner& to) {
   wire::ShardMap changed = stored;
   bool any = false;
   for (wire::ShardEntry& entry : *changed.mutable_entries()) {
@@ -113,7 +114,7 @@
   return finish(std::move(changed), any);
 }
 
-wire::ShardMap with_handed_over(const wire::ShardMap& stored,
+wire::ShardMap hand_over_shards(const wire::ShardMap& stored,
                                 const std::string& from_journal,
                                 const shard_receivers& receivers,
                                 segment_range where) {
@@ -132,9 +133,9 @@
   return finish(std::move(changed), any);
 }
 
-wire::ShardMap with_sources_read(const wire::ShardMap& stored,
-                                 const std::string& journal,
-                                 const std::set<std::uint32_t>& shards) {
+wire::ShardMap remove_read_sources(const wire::ShardMap& stored,
+                                   const std::string& journal,
+                                   const std::set<std::uint32_t>& shards) {
   wire::ShardMap changed = stored;
   bool any = false;
   for (wire::ShardEntry& entry : *changed.mutable_entries()) {
--- a/src/decide/late_rule.cc
+++ b/src/decide/slow_endpoint_detector.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/late_rule.h"
+#include "trayrock/internal/decide/slow_endpoint_detector.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,11 +23,11 @@
 
 }  // namespace
 
-late_rule::late_rule(late_policy policy)
+slow_endpoint_detector::slow_endpoint_detector(slow_endpoint_policy policy)
     : policy_(policy), budget_(leave_percent) {}
 
-void late_rule::answer_began(milliseconds after) {
-  budget_.note_call();
+void slow_endpoint_detector::record_first_byte(milliseconds after) {
+  budget_.record_call();
   const auto ms = static_cast<double>(after.count());
   const double distance = std::abs(ms - mean_ms_);
   if (seen_ == 0) {
@@ -39,13 +39,14 @@
   ++seen_;
 }
 
-std::chrono::milliseconds late_rule::late_after(milliseconds least) const {
+std::chrono::milliseconds slow_endpoint_detector::first_byte_timeout(
+    milliseconds least) const {
   return std::visit([&](const auto& by) { return limit_of(by, least); },
                     policy_.limit);
 }
 
-std::chrono::milliseconds late_rule::limit_of(const compared_with_service&,
-                                              milliseconds least) const {
+std::chrono::milliseconds slow_endpoint_detector::limit_of(
+    const compared_with_service&, milliseconds least) const {
   if (seen_ < enough) {
     return least * unknown_factor;
   }
--- a/src/decide/store_membership.cc
+++ b/src/decide/store_membership.cc
@@ -108,8 +108,8 @@
 }
 
 // The places that have to be filled, the most urgent first.
-std::vector<take_place> open_places(const membership_view& view) {
-  std::vector<take_place> places;
+std::vector<become_voter> open_places(const membership_view& view) {
+  std::vector<become_voter> places;
   for (const std::string_view cause : urgency) {
     for (const records::Store& each : view.group.voters()) {
       if (cause_to_replace(view, each) == cause) {
@@ -159,7 +159,7 @@
       view.keeps_learners_ready ? view.group.tolerated() : 0);
   const std::size_t wanted = std::max(places, ready);
   return learners >= wanted &&
-         view.place_open_ms < learner_time_ms * (1 + learners - wanted);
+         view.vacancy_ms < learner_time_ms * (1 + learners - wanted);
 }
 
 membership_action next_of_voter(const membership_view& view) {
@@ -178,7 +178,7 @@
 
 // Of a store that is no voter, nor to be retired.
 membership_action next_of_spare(const membership_view& view) {
-  const std::vector<take_place> places = open_places(view);
+  const std::vector<become_voter> places = open_places(view);
   if (places.empty()) {
     return do_nothing{};  // a spare store costs nothing until it is needed
   }
@@ -195,16 +195,16 @@
 
 }  // namespace
 
-bool has_open_place(const membership_view& view) {
+bool has_vacancy(const membership_view& view) {
   return !open_places(view).empty();
 }
 
 bool needs_platform(const membership_view& view) {
   const bool takes_part = is_voter(view.group, view.self.id()) ||
                           is_learner(view.group, view.self.id());
-  const bool leaves =
-      view.retirement_told || view.retiring_boxes.contains(view.self.box());
-  if (takes_part || leaves || has_open_place(view)) {
+  const bool leaves = view.peer_reported_retirement ||
+                      view.retiring_boxes.contains(view.self.box());
+  if (takes_part || leaves || has_vacancy(view)) {
     return true;
   }
   return std::none_of(view.group.voters().begin(), view.group.voters().end(),
--- a/src/decide/store_peers.cc
+++ b/src/decide/store_peers.cc
@@ -46,29 +46,29 @@
 void store_peers::follow_one(const records::Store& store, bool is_voting,
                              std::uint64_t now_ms) {
   store_peer& followed = peers_[store.id()];
-  if (followed.first_asked_ms == 0) {
-    followed.first_asked_ms = now_ms;
+  if (followed.first_polled_ms == 0) {
+    followed.first_polled_ms = now_ms;
   }
   followed.store = store;
   followed.learner = !is_voting;
 }
 
-void store_peers::pull_began(const std::string& id) {
+void store_peers::on_pull_started(const std::string& id) {
   const auto held = peers_.find(id);
   if (held != peers_.end()) {
     held->second.pull_began_fenced = held->second.fenced;
   }
 }
 
-bool store_peers::answered(const std::string& id,
-                           const records::PullReply& answer,
-                           std::uint64_t now_ms) {
+bool store_peers::on_pull_reply(const std::string& id,
+                                const records::PullReply& answer,
+                                std::uint64_t now_ms) {
   const auto held = peers_.find(id);
   if (held == peers_.end()) {
     return false;
   }
   store_peer& from = held->second;
-  from.answered_ms = now_ms;
+  from.last_reply_ms = now_ms;
   from.id_at_address = answer.store();
   const bool same = answer.store() == id;
   from.counts = same && answer.counts() && answer.epoch() == epoch_;
@@ -76,7 +76,7 @@
   return same;
 }
 
-void store_peers::read(const std::string& id, bool to_end) {
+void store_peers::on_records_stored(const std::string& id, bool to_end) {
   const auto held = peers_.find(id);
   if (held == peers_.end()) {
     return;
@@ -88,7 +88,7 @@
   }
 }
 
-bool store_peers::fence_answered(const std::string& id,
+bool store_peers::on_fence_reply(const std::string& id,
                                  const records::FenceReply& answer,
                                  std::uint64_t epoch) {
   const auto held = peers_.find(id);
@@ -115,7 +115,7 @@
   return others + (self ? 1 : 0);
 }
 
-bool store_peers::joined(const records::StoreState& own) const {
+bool store_peers::has_joined(const records::StoreState& own) const {
   const records::Group& group = own.group();
   if (group.epoch() != epoch_) {
     return false;  // what was read belongs to an older epoch
@@ -134,7 +134,8 @@
     std::uint64_t now_ms) const {
   std::map<std::string, peer_view> made;
   for (const auto& [id, each] : peers_) {
-    const std::uint64_t heard = std::max(each.answered_ms, each.first_asked_ms);
+    const std::uint64_t heard =
+        std::max(each.last_reply_ms, each.first_polled_ms);
     made[id] = {now_ms - heard, each.read_to_end, each.counts,
                 each.id_at_address};
   }
--- a/src/decide/urgency.cc
+++ b/src/decide/urgency.cc
@@ -20,7 +20,7 @@
     return urgency_late;
   }
   const int of_rank = static_cast<int>(std::min(turn.rank, least_urgent_rank));
-  return steps_a_rank * of_rank + (turn.goes_on ? 1 : 2);
+  return steps_a_rank * of_rank + (turn.program_in_progress ? 1 : 2);
 }
 
 }  // namespace trayrock
--- a/src/decide/watch_roles.cc
+++ b/src/decide/watch_roles.cc
@@ -103,30 +103,29 @@
   return found;
 }
 
-first_watch_step watch_roles::first(std::span<const relay_peer> peers,
-                                    bool listed,
-                                    std::chrono::milliseconds since_start,
-                                    std::uint64_t now_ms) {
+first_watch_step watch_roles::initial_step(
+    std::span<const relay_peer> peers, bool listed,
+    std::chrono::milliseconds since_start, std::uint64_t now_ms) {
   const bool alone = std::holds_alternative<all_watch>(sharing_) ||
                      alone_until_ms_ > now_ms || since_start >= first_patience;
   if (alone || (listed && is_watcher(peers, now_ms))) {
     return watch_platform{};
   }
-  return beside_platform(peers, now_ms);
+  return peer_step(peers, now_ms);
 }
 
-first_watch_step watch_roles::beside_platform(std::span<const relay_peer> peers,
-                                              std::uint64_t now_ms) {
+first_watch_step watch_roles::peer_step(std::span<const relay_peer> peers,
+                                        std::uint64_t now_ms) {
   ++turn_;
   const std::vector<std::string> found = candidates(peers, now_ms);
   if (found.empty()) {
     return wait_for_peers{};
   }
-  return ask_watcher{found.front()};
+  return poll_watcher{found.front()};
 }
 
-watch_step watch_roles::next(std::span<const relay_peer> peers,
-                             std::uint64_t now_ms) {
+watch_step watch_roles::next_step(std::span<const relay_peer> peers,
+                                  std::uint64_t now_ms) {
   if (is_watcher(peers, now_ms)) {
     failures_in_row_ = 0;
     return watch_platform{};
@@ -139,7 +138,7 @@
   if (found.empty()) {
     return watch_platform{};
   }
-  return ask_watcher{found.front()};
+  return poll_watcher{found.front()};
 }
 
 std::vector<std::string> watch_roles::watchers(
@@ -165,13 +164,13 @@
   return found;
 }
 
-void watch_roles::heard(const std::string& address) {
+void watch_roles::on_reply(const std::string& address) {
   asked_.erase(address);
   failures_in_row_ = 0;
   alone_until_ms_ = 0;
 }
 
-void watch_roles::unusable(const std::string& address, std::uint64_t now_ms) {
+void watch_roles::on_failure(const std::string& address, std::uint64_t now_ms) {
   view& held = asked_[address];
   const std::uint32_t doublings =
       std::min(held.failures_in_row, most_doublings);
--- a/src/gateway/configuration_view.cc
+++ b/src/gateway/configuration_view.cc
@@ -45,8 +45,9 @@
       take_written(change.object);
     }
   });
-  watcher_.on_current([this](std::uint64_t sent_ms) { proof_.shown(sent_ms); });
-  watcher_.start_held();
+  watcher_.on_current(
+      [this](std::uint64_t sent_ms) { proof_.on_platform_response(sent_ms); });
+  watcher_.start_paused();
 }
 
 // Others than the operator may write objects of that kind.
@@ -105,7 +106,7 @@
   const bool usable = told.proven_configuration() != 0 &&
                       told.proven_configuration() <= document_.version;
   if (usable) {
-    proof_.told(asked_ms, milliseconds(told.proof_age_ms()));
+    proof_.on_peer_reply(asked_ms, milliseconds(told.proof_age_ms()));
   }
 }
 
@@ -126,7 +127,7 @@
              {{"version", std::to_string(document_.version)},
               {"platform_silent_ms", std::to_string(watcher_.silence_ms())}});
   }
-  if (proof_.is_ageing(loop_.now_ms())) {
+  if (proof_.needs_refresh(loop_.now_ms())) {
     ask_peer();
   }
 }
--- a/src/gateway/endpoint_attempt.cc
+++ b/src/gateway/endpoint_attempt.cc
@@ -36,7 +36,7 @@
     return false;
   }
   sent_at_us_ = loop_.now_us();
-  endpoint_directory::begin(*endpoint_, loop_.now_ms());
+  endpoint_directory::begin_attempt(*endpoint_, loop_.now_ms());
   in_flight_ = true;
   head_ = {};
   answer_ = {};
@@ -64,7 +64,7 @@
 }
 
 void endpoint_attempt::take_head(const http1_answer_head& head,
-                                 answer_facts answer) {
+                                 response_metadata answer) {
   head_ = head;
   answer_ = std::move(answer);
   invalid_ = succeeded() && (!answer_.sealed || answer_.encoded);
@@ -90,13 +90,13 @@
     return attempt_outcome::other_instance;
   }
   return answer_.not_executed ? attempt_outcome::refused
-                              : attempt_outcome::answered;
+                              : attempt_outcome::responded;
 }
 
 void endpoint_attempt::suspect() {
   log_info("endpoint_late", {{"request", facts_.attempt},
                              {"endpoint", endpoint_->record.identity.id}});
-  if (endpoint_->health.failed(loop_.now_ms())) {
+  if (endpoint_->health.record_failure(loop_.now_ms())) {
     log_avoided();
   }
   forget_idle_connections();
@@ -129,11 +129,11 @@
   const double ms =
       static_cast<double>(loop_.now_us() - sent_at_us_) / us_per_ms;
   const bool avoided =
-      endpoint_directory::end(*endpoint_, outcome, ms, loop_.now_ms());
+      endpoint_directory::end_attempt(*endpoint_, outcome, ms, loop_.now_ms());
   if (avoided) {
     log_avoided();
   }
-  if (outcome != attempt_outcome::answered) {
+  if (outcome != attempt_outcome::responded) {
     log_failed(outcome, ms);
   }
 }
--- a/src/gateway/endpoint_directory.cc
+++ b/src/gateway/endpoint_directory.cc
@@ -17,26 +17,26 @@
 
 void presume_cold(endpoint_state& at, std::uint64_t now_ms) {
   at.presumed_cold_until_ms =
-      now_ms + static_cast<std::uint64_t>(at.cold.lasts.count());
+      now_ms + static_cast<std::uint64_t>(at.cold.duration.count());
 }
 
 }  // namespace
 
 std::vector<std::string> endpoint_directory::replace(
     const std::vector<endpoint>& listed, bool after_loss,
-    const answer_times& times) {
+    const reply_times& times) {
   std::set<std::string> ids;
   for (const endpoint& each : listed) {
     ids.insert(each.identity.id);
   }
-  const bool lapsed = lapsed_at_once(missing_from(ids));
+  const bool lapsed = is_mass_expiry(missing_from(ids));
   for (const endpoint& each : listed) {
     take(each, 0, times.now_ms);
   }
   std::vector<std::string> kept;
   if (after_loss || lapsed) {
-    const absence how =
-        after_loss ? absence::listed_after_loss : absence::nearly_all_at_once;
+    const missing_cause how = after_loss ? missing_cause::absent_after_outage
+                                         : missing_cause::mass_removal;
     kept = keep_for_a_moment(ids, kept_until(how, times));
   }
   drop_if([&](const std::string& id, const endpoint_state& at) {
@@ -47,14 +47,14 @@
   return kept;
 }
 
-std::uint64_t endpoint_directory::kept_until(absence how,
-                                             const answer_times& times) const {
+std::uint64_t endpoint_directory::kept_until(missing_cause how,
+                                             const reply_times& times) const {
   return kept_until_ms(how, times, policy_.reconnect_ms);
 }
 
-bool endpoint_directory::lapsed_at_once(std::size_t removed) const {
-  return policy_.keeps_lapsed &&
-         trayrock::lapsed_at_once(removed, by_id_.size());
+bool endpoint_directory::is_mass_expiry(std::size_t removed) const {
+  return policy_.keeps_expired &&
+         trayrock::is_mass_expiry(removed, by_id_.size());
 }
 
 std::size_t endpoint_directory::missing_from(
@@ -186,9 +186,9 @@
   return true;
 }
 
-void endpoint_directory::lapse(const endpoint_identity& gone,
-                               std::uint64_t revision,
-                               const answer_times& times) {
+void endpoint_directory::expire(const endpoint_identity& gone,
+                                std::uint64_t revision,
+                                const reply_times& times) {
   const auto known = find_gone(gone, revision);
   if (known == by_id_.end()) {
     return;
@@ -197,7 +197,7 @@
   if (at.record.draining) {
     drop(known);
   } else if (at.kept_until_ms == 0) {
-    at.kept_until_ms = kept_until(absence::nearly_all_at_once, times);
+    at.kept_until_ms = kept_until(missing_cause::mass_removal, times);
   }
 }
 
@@ -267,8 +267,8 @@
   }
 }
 
-void endpoint_directory::share_cold(const cold_sharing& share_of,
-                                    std::uint64_t now_ms) {
+void endpoint_directory::update_cold_shares(const cold_sharing& share_of,
+                                            std::uint64_t now_ms) {
   if (cold_limits_.empty()) {
     return;
   }
@@ -279,7 +279,7 @@
   }
 }
 
-endpoint_state_ptr endpoint_directory::choose(const endpoint_choice& wanted,
+endpoint_state_ptr endpoint_directory::choose(const endpoint_criteria& wanted,
                                               std::uint64_t now_ms) const {
   const auto found = by_service_.find(wanted.service);
   if (found == by_service_.end()) {
@@ -288,60 +288,62 @@
   return choose_endpoint(found->second, wanted, policy_.choice, now_ms);
 }
 
-bool endpoint_directory::are_held_back_when_cold(std::string_view service,
-                                                 std::uint64_t now_ms) const {
+bool endpoint_directory::is_limited_by_cold_start(std::string_view service,
+                                                  std::uint64_t now_ms) const {
   const auto found = by_service_.find(service);
   return found != by_service_.end() &&
          std::any_of(found->second.begin(), found->second.end(),
                      [now_ms](const endpoint_state_ptr& each) {
                        return !each->record.draining && !each->evacuated &&
-                              each->takes_no_more(now_ms);
+                              each->is_cold_limit_reached(now_ms);
                      });
 }
 
-void endpoint_directory::begin(endpoint_state& at, std::uint64_t now_ms) {
+void endpoint_directory::begin_attempt(endpoint_state& at,
+                                       std::uint64_t now_ms) {
   ++at.in_flight;
   if (at.cold.exists()) {
     at.sent.add(now_ms);
   }
 }
 
-bool endpoint_directory::end(endpoint_state& at, attempt_outcome outcome,
-                             double latency_ms, std::uint64_t now_ms) {
+bool endpoint_directory::end_attempt(endpoint_state& at,
+                                     attempt_outcome outcome, double latency_ms,
+                                     std::uint64_t now_ms) {
   at.in_flight -= at.in_flight > 0 ? 1 : 0;
   switch (outcome) {
-    case attempt_outcome::answered:
-      if (at.health.on_trial(now_ms)) {
+    case attempt_outcome::responded:
+      if (at.health.is_on_probation(now_ms)) {
         presume_cold(at, now_ms);
       }
-      at.health.answered(now_ms);
+      at.health.record_response(now_ms);
       at.latency_ms = smoothed(at.latency_ms, latency_ms);
       at.latency_at_ms = now_ms;
       return false;
     case attempt_outcome::cancelled:
       return false;
     case attempt_outcome::refused:
-      return at.health.refused(now_ms);
+      return at.health.record_refusal(now_ms);
     case attempt_outcome::other_instance:
       at.superseded = true;
       return true;
     case attempt_outcome::unreachable:
-      return at.health.unreachable(now_ms);
+      return at.health.record_unreachable(now_ms);
     case attempt_outcome::broken:
-      return at.health.failed(now_ms);
+      return at.health.record_failure(now_ms);
   }
   return false;
 }
 
-bool endpoint_directory::report_failure(const endpoint_identity& failed,
-                                        std::string_view gateway,
-                                        std::uint64_t now_ms) {
+bool endpoint_directory::record_peer_failure(const endpoint_identity& failed,
+                                             std::string_view gateway,
+                                             std::uint64_t now_ms) {
   const auto known = by_id_.find(failed.id);
   return known != by_id_.end() && known->second->record.identity == failed &&
-         known->second->health.reported(gateway, now_ms);
+         known->second->health.record_peer_failure(gateway, now_ms);
 }
 
-bool endpoint_directory::supersede(const endpoint_identity& former) {
+bool endpoint_directory::mark_superseded(const endpoint_identity& former) {
   endpoint_state_ptr state = known_instance(former);
   if (state == nullptr) {
     state = made_state(former);
--- a/src/gateway/evacuation_view.cc
+++ b/src/gateway/evacuation_view.cc
@@ -51,7 +51,7 @@
         }
         adopt(std::move(data_centres), seen.revision);
       });
-  watcher_->start_held();
+  watcher_->start_paused();
 }
 
 void evacuation_view::take_told(const evacuation_list& told) {
@@ -61,11 +61,11 @@
   }
 }
 
-bool evacuation_view::hold() { return !watcher_ || watcher_->hold(); }
+bool evacuation_view::hold() { return !watcher_ || watcher_->pause(); }
 
 void evacuation_view::release(bool patient) {
   if (watcher_) {
-    watcher_->release(patient);
+    watcher_->resume(patient);
   }
 }
 
--- a/src/gateway/gateway_main.cc
+++ b/src/gateway/gateway_main.cc
@@ -36,7 +36,7 @@
         rpc_(loop_, {}),
         pool_(loop_),
         platform_(loop_, settings.service.platform, metrics_,
-                  probe_pace_within(reconnect_ms(settings))),
+                  probe_schedule_within(reconnect_ms(settings))),
         peers_(loop_, {}),
         records_(loop_, rpc_, settings.service.data_centre, metrics_),
         permits_(loop_, rpc_, records_, metrics_, settings.service.data_centre),
@@ -64,8 +64,10 @@
             [this] { return stages_.time_to_end(); },
             [this] { return stages_.back_after_stopping(); },
             [this] { return cut_off_for(); },
-            [this](const endpoint_identity& at) { view_.note_failure(at); },
-            [this](const endpoint_identity& at) { view_.note_superseded(at); }},
+            [this](const endpoint_identity& at) { view_.report_failure(at); },
+            [this](const endpoint_identity& at) {
+              view_.report_superseded(at);
+            }},
         clients_(
             loop_, [this] { return limits(); },
             [this](http1_request request, http1_exchange_ptr out) {
@@ -106,7 +108,7 @@
       log_info("reload", {{"outcome", "no setting can change while running"}});
     });
     const timer contact =
-        loop_.every(milliseconds(contact_rule::tick_period_ms),
+        loop_.every(milliseconds(isolation_detector::tick_period_ms),
                     [this] { watch_contact(); });
     loop_.run();
     log_info("gateway_stopped", {{"gateway", settings_.service.name}});
@@ -149,11 +151,11 @@
   bool ready() {
     return !stages_.draining() && view_.configuration() != nullptr &&
            endpoints_.size() > 0 && records_.has_group() &&
-           !records_.contact().cut_off();
+           !records_.contact().is_isolated();
   }
 
   milliseconds cut_off_for() {
-    const std::uint64_t since = records_.contact().cut_off_since_ms();
+    const std::uint64_t since = records_.contact().isolated_since_ms();
     return milliseconds(since == 0 ? 0 : loop_.now_ms() - since);
   }
 
@@ -161,17 +163,17 @@
   // connections are to find another one then; and peers are asked whether it is
   // over, since no request does that any more.
   void watch_contact() {
-    contact_rule& contact = records_.contact();
+    isolation_detector& contact = records_.contact();
     contact.tick(loop_.now_ms());
-    if (contact.cut_off() != was_cut_off_) {
-      was_cut_off_ = contact.cut_off();
+    if (contact.is_isolated() != was_cut_off_) {
+      was_cut_off_ = contact.is_isolated();
       metrics_.set("cut_off", {}, was_cut_off_ ? 1 : 0);
       log_warn(was_cut_off_ ? "cut_off" : "cut_off_over",
                {{"ready", ready() ? "yes" : "no"}});
       clients_.close_after_answers(was_cut_off_ || stages_.draining());
     }
     if (was_cut_off_) {
-      view_.ask_sign_of_life([this] { records_.contact().heard(); });
+      view_.probe_peer([this] { records_.contact().on_reply(); });
     }
   }
 
@@ -193,9 +195,9 @@
   permit_client permits_;
   endpoint_directory endpoints_;
   chain_cache chains_;
-  duration_book durations_;
-  std::map<std::string, late_rule, std::less<>> late_rules_;
-  program_sightings programs_;
+  duration_estimator durations_;
+  std::map<std::string, slow_endpoint_detector, std::less<>> late_rules_;
+  recent_programs programs_;
   platform_view view_;
   gateway_parts parts_;
   http1_server clients_;
--- a/src/gateway/gateway_policy.cc
+++ b/src/gateway/gateway_policy.cc
@@ -10,19 +10,19 @@
       from.relays = false;
       return;
     case mechanism::failure_news:
-      from.news.failures = false;
+      from.peer_notifier.failures = false;
       return;
     case mechanism::superseded_news:
-      from.news.superseded = false;
+      from.peer_notifier.superseded = false;
       return;
     case mechanism::revision_news:
-      from.news.revisions = false;
+      from.peer_notifier.revisions = false;
       return;
     case mechanism::refusal_pauses:
-      from.endpoints.health.pauses_after_refusals = false;
+      from.endpoints.health.backs_off_after_refusals = false;
       return;
     case mechanism::endpoint_trials:
-      from.endpoints.health.tries_behind_pauses = false;
+      from.endpoints.health.has_probation_after_backoff = false;
       return;
     case mechanism::previous_endpoint:
       from.endpoints.choice.keeps_previous = false;
@@ -34,10 +34,10 @@
       from.endpoints.choice.unconnected_factor = 1;
       return;
     case mechanism::late_by_comparison:
-      from.late.limit = objective_alone{};
+      from.late.limit = objective_only{};
       return;
     case mechanism::late_endpoints_left:
-      from.late.leaves = false;
+      from.late.allows_resend = false;
       return;
     case mechanism::resumed_streams:
       from.resumes_streams = false;
@@ -49,7 +49,7 @@
       from.repeats_listings = false;
       return;
     case mechanism::lapses:
-      from.endpoints.keeps_lapsed = false;
+      from.endpoints.keeps_expired = false;
       return;
     case mechanism::chain_cache:
       from.caches_chains = false;
@@ -58,7 +58,7 @@
       from.durations = by_fixed_time{};
       return;
     case mechanism::return_times:
-      from.return_times = always_at_once{};
+      from.return_times = always_immediate{};
       return;
     case mechanism::dropped_connections:
       from.drops_connections = false;
@@ -67,10 +67,10 @@
       from.watches = all_watch{};
       return;
     case mechanism::draws_among_equals:
-      from.endpoints.choice.draws_among_equals = false;
+      from.endpoints.choice.breaks_ties_randomly = false;
       return;
     case mechanism::levelled_latencies:
-      from.endpoints.choice.levels_latencies = false;
+      from.endpoints.choice.ignores_latency_noise = false;
       return;
     case mechanism::ready_learners:
       return;  // of record stores
--- a/src/gateway/gateway_stages.cc
+++ b/src/gateway/gateway_stages.cc
@@ -54,7 +54,7 @@
   drain_view view;
   view.draining_for = milliseconds(loop_.now_ms() - drain_began_ms_);
   view.since_last_connection = clients_.since_last_connection();
-  return return_time(view, return_times_);
+  return retry_after_delay(view, return_times_);
 }
 
 // The balancer sees "not ready"; what it sends all the same is served for as
--- a/src/gateway/peer_news.cc
+++ b/src/gateway/peer_news.cc
@@ -45,7 +45,7 @@
 
 peer_news::peer_news(event_loop& loop, rpc_pool& pool,
                      std::function<std::vector<std::string>()> receivers,
-                     platform::gateway_entry own, news_policy policy)
+                     platform::gateway_entry own, peer_notifier_policy policy)
     : loop_(loop),
       pool_(pool),
       receivers_(std::move(receivers)),
@@ -86,14 +86,14 @@
       });
 }
 
-void peer_news::note_failure(const endpoint_identity& endpoint) {
+void peer_news::report_failure(const endpoint_identity& endpoint) {
   if (policy_.failures && failed_endpoints_.size() < most_endpoints) {
     failed_endpoints_.insert(endpoint);
     send_soon();
   }
 }
 
-void peer_news::note_superseded(const endpoint_identity& endpoint) {
+void peer_news::report_superseded(const endpoint_identity& endpoint) {
   if (policy_.superseded && superseded_endpoints_.size() < most_superseded) {
     superseded_endpoints_.insert(endpoint);
     send_soon();
--- a/src/gateway/peer_relays.cc
+++ b/src/gateway/peer_relays.cc
@@ -135,17 +135,17 @@
   relay_source made;
   made.pick = [this] { return pick(); };
   made.failed = [this](const std::string& address, relay_failure how) {
-    choice_.failed(address, how, loop_.now_ms());
+    choice_.record_failure(address, how, loop_.now_ms());
   };
   made.passed_on = [this](const std::string& address) {
-    choice_.passed_on(address, loop_.now_ms());
+    choice_.record_success(address, loop_.now_ms());
   };
   return made;
 }
 
 std::string peer_relays::pick() {
   const std::uint64_t now = loop_.now_ms();
-  if (choice_.exhausted(now)) {
+  if (choice_.all_in_backoff(now)) {
     look_for_peers();
   }
   return choice_.pick(now);
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -90,7 +90,7 @@
       relays_(loop, gateways_, entry_of(settings.service)),
       configuration_(
           loop, pool, objects, relays_, settings,
-          {proving_wait(settings.revocation_limit, configuration_wait),
+          {max_watch_wait(settings.revocation_limit, configuration_wait),
            share_of(settings.configuration_notice, configuration_pause_share),
            policy.repeats_listings, first_pause(settings.endpoint_notice)},
           parts.metrics),
@@ -108,7 +108,7 @@
           [this](records::WatchReply& reply) { configuration_.prove(reply); }),
       news_(
           loop, pool, [this] { return follower_.watchers(); },
-          entry_of(settings.service), policy.news) {}
+          entry_of(settings.service), policy.peer_notifier) {}
 
 void platform_view::serve(rpc_server& server) {
   server_.serve(server);
@@ -143,13 +143,13 @@
 }
 
 // What the platform has answered just now.
-answer_times platform_view::answered_now() const {
+reply_times platform_view::answered_now() const {
   return {loop_.now_ms(), objects_.unserved_at_ms()};
 }
 
 // What a gateway that watches has told just now: it knows better when the
 // platform came back.
-answer_times platform_view::told_now(
+reply_times platform_view::told_now(
     const records::EndpointChanges& told) const {
   const std::uint64_t now = loop_.now_ms();
   return {now, 0, now + told.lapse_left_ms()};
@@ -179,7 +179,7 @@
     return;
   }
   const std::vector<relay_peer> peers = relays_.peers();
-  parts_.endpoints.share_cold(
+  parts_.endpoints.update_cold_shares(
       [&](const cold_limit& limit, const endpoint& of) {
         return cold_share(limit, of.identity, of.data_centre, own_, peers);
       },
@@ -195,10 +195,10 @@
       [this](const platform::object_changes& seen, std::uint64_t after) {
         apply(entries_.of_changes(seen, after), answered_now());
       });
-  endpoints_.start_held();
+  endpoints_.start_paused();
 }
 
-void platform_view::ask_sign_of_life(std::function<void()> heard) {
+void platform_view::probe_peer(std::function<void()> heard) {
   const relay_source peers = relays_.source();
   const std::string peer = peers.pick();
   if (peer.empty() || asking_sign_.running()) {
@@ -245,8 +245,8 @@
 // ---- Who watches -----------------------------------------------------------
 
 bool platform_view::hold() {
-  const bool held = endpoints_.hold() && configuration_.hold() &&
-                    registry_.hold() && evacuations_.hold();
+  const bool held = endpoints_.pause() && configuration_.hold() &&
+                    registry_.pause() && evacuations_.hold();
   server_.wake();  // those that asked here ask elsewhere
   return held;
 }
@@ -254,14 +254,15 @@
 void platform_view::release() {
   // One that is to watch has others that rely on it.
   const bool patient = !follower_.is_watcher();
-  endpoints_.release(patient);
+  endpoints_.resume(patient);
   configuration_.release(patient);
-  registry_.release(patient);
+  registry_.resume(patient);
   evacuations_.release(patient);
 }
 
 bool platform_view::watching() const {
-  return !endpoints_.held() && endpoints_.reachable() && log_.revision() != 0;
+  return !endpoints_.is_paused() && endpoints_.reachable() &&
+         log_.revision() != 0;
 }
 
 watch_position platform_view::position() const {
@@ -283,7 +284,7 @@
   }
   endpoints_.advance(endpoints_.revision());
   if (told.group_revision() != 0) {
-    registry_.take_told(told.group(), told.group_revision());
+    registry_.apply_update(told.group(), told.group_revision());
   }
   if (told.configuration() > configuration_.document().version) {
     configuration_.take_document(
@@ -355,7 +356,7 @@
 }
 
 void platform_view::apply(const records::EndpointChanges& said,
-                          const answer_times& times) {
+                          const reply_times& times) {
   endpoints_.advance(said.revision());
   std::uint64_t kept_until = 0;
   if (said.whole()) {
@@ -379,7 +380,7 @@
 // Returns until when endpoints are used that are missing in it; 0: they are
 // not.
 std::uint64_t platform_view::apply_listing(const records::EndpointChanges& said,
-                                           const answer_times& times) {
+                                           const reply_times& times) {
   withdraw(said);  // before they are taken as missing
   std::vector<endpoint> listed;
   for (const records::EndpointChange& each : said.changes()) {
@@ -388,37 +389,37 @@
   }
   const std::vector<std::string> kept =
       parts_.endpoints.replace(listed, said.after_loss(), times);
-  log_info(
-      "endpoints_listed",
-      {{"count", std::to_string(listed.size())},
-       {"revision", std::to_string(said.revision())},
-       {"after_loss", said.after_loss() ? "yes" : "no"},
-       {"unserved_ms_ago", std::to_string(times.now_ms - times.unserved_ms)},
-       {"kept", ids_text(kept)}});
+  log_info("endpoints_listed",
+           {{"count", std::to_string(listed.size())},
+            {"revision", std::to_string(said.revision())},
+            {"after_loss", said.after_loss() ? "yes" : "no"},
+            {"unserved_ms_ago",
+             std::to_string(times.now_ms - times.last_failed_call_ms)},
+            {"kept", ids_text(kept)}});
   if (kept.empty()) {
     return 0;
   }
   return parts_.endpoints.kept_until(said.after_loss()
-                                         ? absence::listed_after_loss
-                                         : absence::nearly_all_at_once,
+                                         ? missing_cause::absent_after_outage
+                                         : missing_cause::mass_removal,
                                      times);
 }
 
 // The same of endpoints that are removed in it.
 std::uint64_t platform_view::apply_changes(const records::EndpointChanges& said,
-                                           const answer_times& times) {
+                                           const reply_times& times) {
   const auto removed = std::count_if(
       said.changes().begin(), said.changes().end(),
       [](const records::EndpointChange& each) { return each.removed(); });
   const bool lapsed =
-      parts_.endpoints.lapsed_at_once(static_cast<std::size_t>(removed));
+      parts_.endpoints.is_mass_expiry(static_cast<std::size_t>(removed));
   if (lapsed) {
     parts_.metrics.add("endpoint_lapses_total");
     log_warn("endpoints_lapsed",
              {{"removed", std::to_string(removed)},
               {"known", std::to_string(parts_.endpoints.size())},
               {"unserved_ms_ago",
-               std::to_string(times.now_ms - times.unserved_ms)}});
+               std::to_string(times.now_ms - times.last_failed_call_ms)}});
   }
   for (const records::EndpointChange& each : said.changes()) {
     const endpoint_identity instance = identity_of(each.record());
@@ -427,13 +428,13 @@
       note_start(changed);
       parts_.endpoints.update(changed, times.now_ms);
     } else if (lapsed) {
-      parts_.endpoints.lapse(instance, said.revision(), times);
+      parts_.endpoints.expire(instance, said.revision(), times);
     } else {
       parts_.endpoints.remove(instance, said.revision());
     }
   }
   return lapsed
-             ? parts_.endpoints.kept_until(absence::nearly_all_at_once, times)
+             ? parts_.endpoints.kept_until(missing_cause::mass_removal, times)
              : 0;
 }
 
@@ -460,14 +461,14 @@
   }
   for (const records::EndpointIdentity& each : news.failed()) {
     parts_.metrics.add("endpoint_failures_reported_total");
-    if (parts_.endpoints.report_failure(decode(each), news.gateway(),
-                                        loop_.now_ms())) {
+    if (parts_.endpoints.record_peer_failure(decode(each), news.gateway(),
+                                             loop_.now_ms())) {
       log_avoided(each, news);
     }
   }
   for (const records::EndpointIdentity& each : news.superseded()) {
     parts_.metrics.add("superseded_endpoints_reported_total");
-    if (parts_.endpoints.supersede(decode(each))) {
+    if (parts_.endpoints.mark_superseded(decode(each))) {
       log_avoided(each, news);
     }
   }
--- a/src/gateway/request_flow.cc
+++ b/src/gateway/request_flow.cc
@@ -4,7 +4,7 @@
 
 #include "platform/messages.h"
 #include "request_flow_state.h"
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 #include "trayrock/internal/gateway/error_answer.h"
 #include "trayrock/internal/log.h"
 
@@ -64,8 +64,8 @@
   }
   const std::uint64_t now = parts_.loop.now_ms();
   program_goes_on_ = !facts_.previous_turn.empty() ||
-                     parts_.programs.knows(facts_.program, now);
-  parts_.programs.note(facts_.program, now);
+                     parts_.programs.contains(facts_.program, now);
+  parts_.programs.record(facts_.program, now);
 }
 
 void request_flow::go_on() {
@@ -138,9 +138,9 @@
     case errc::stopping:
       return parts_.back_after_stopping();
     case errc::cut_off:
-      return return_time_when_cut_off(parts_.cut_off_for());
+      return retry_after_when_isolated(parts_.cut_off_for());
     case errc::configuration_unproven:
-      return return_time_when_unproven();
+      return retry_after_when_config_stale();
     case errc::workspace_limit:
       return back_after_limit_;
     default:
@@ -190,7 +190,7 @@
   report_.endpoints_age_ms = parts_.endpoints_age_ms();
   report_.epoch = parts_.records.group().epoch();
   report_.total_us = elapsed_us();
-  report_.events = answer_.events().whole_events();
+  report_.events = answer_.events().complete_events();
   report_.status = status;
   report_.outcome = outcome;
   report_request(parts_.metrics, facts_, report_);
--- a/src/gateway/request_flow_endpoint.cc
+++ b/src/gateway/request_flow_endpoint.cc
@@ -45,18 +45,18 @@
   if (!tried_.empty()) {
     return errc::endpoints_full;
   }
-  const bool cold = parts_.endpoints.are_held_back_when_cold(
+  const bool cold = parts_.endpoints.is_limited_by_cold_start(
       terms_.service(), parts_.loop.now_ms());
   return cold ? errc::endpoints_cold : errc::no_runner;
 }
 
-endpoint_choice request_flow::wanted() const {
-  endpoint_choice made;
+endpoint_criteria request_flow::wanted() const {
+  endpoint_criteria made;
   made.service = terms_.service();
   made.preferred = turn_before();
   made.data_centre = parts_.data_centre;
   made.excluded = &tried_;
-  made.once = terms_.once();
+  made.at_most_once = terms_.once();
   made.draw = XXH3_64bits_withSeed(facts_.attempt.data(), facts_.attempt.size(),
                                    tried_.size());
   made.connected = [this](const endpoint& each) {
@@ -74,7 +74,7 @@
   if (facts_.program_time_left) {
     turn.program_time_left = *facts_.program_time_left - elapsed_ms();
   }
-  turn.goes_on = program_goes_on_;
+  turn.program_in_progress = program_goes_on_;
   turn.rank = terms_.route().rank;
   return urgency_of(turn);
 }
@@ -86,13 +86,13 @@
 }
 
 http1_request request_flow::outgoing() const {
-  endpoint_directions directions;
+  forwarding_options directions;
   directions.time_left = time_left();
   directions.instance = attempt_.to()->identity.id;
   directions.resume_after = answer_.last_event_id();
   directions.workspace = terms_.workspace_name();
   directions.urgency = urgency();
-  directions.hides_key = terms_.from()->workspaces.has_value();
+  directions.strips_key = terms_.from()->workspaces.has_value();
   http1_request made = platform::endpoint_request(request_, directions);
   if (history_.chain() != nullptr) {
     made.body = history_.chain()->text + request_.body;
@@ -112,10 +112,11 @@
 }
 
 void request_flow::arm_late_guard() {
-  guard_against_silence(late().late_after(terms_.route().latency_objective));
+  guard_against_silence(
+      late().first_byte_timeout(terms_.route().latency_objective));
 }
 
-late_rule& request_flow::late() {
+slow_endpoint_detector& request_flow::late() {
   return parts_.late_rules
       .try_emplace(std::string(terms_.service()), parts_.policy.late)
       .first->second;
@@ -137,9 +138,9 @@
 void request_flow::endpoint_late() {
   const bool begun = attempt_.status() != 0;
   if (!begun) {
-    late().answer_began(attempt_.age());
+    late().record_first_byte(attempt_.age());
   }
-  if (may_leave_late_endpoint(resend_state()) && late().leave()) {
+  if (may_abandon_slow_endpoint(resend_state()) && late().acquire_resend()) {
     parts_.metrics.add("late_endpoints_left_total");
     leave_endpoint();
     return;
@@ -152,7 +153,7 @@
 }
 
 bool request_flow::take_head(const http1_answer_head& head) {
-  answer_facts answer = platform::decode_answer(head);
+  response_metadata answer = platform::decode_answer(head);
   if (!answer.attempt.empty() && answer.attempt != facts_.attempt) {
     parts_.metrics.add("surplus_answers_total");
     log_warn("surplus_answer", {{"request", facts_.attempt},
@@ -161,7 +162,7 @@
     return false;
   }
   late_guard_.cancel();
-  late().answer_began(attempt_.age());
+  late().record_first_byte(attempt_.age());
   attempt_.take_head(head, std::move(answer));
   report_.head_us = elapsed_us();
   guard_pauses();
@@ -173,10 +174,10 @@
 }
 
 void request_flow::guard_pauses() {
-  if (resumable() && may_leave_late_endpoint(resend_state())) {
+  if (resumable() && may_abandon_slow_endpoint(resend_state())) {
     const route& from = terms_.route();
-    guard_against_silence(late().late_after(
-        std::max(from.longest_pause, from.latency_objective)));
+    guard_against_silence(late().first_byte_timeout(
+        std::max(from.max_event_gap, from.latency_objective)));
   }
 }
 
@@ -219,7 +220,7 @@
   const attempt_outcome outcome = attempt_.outcome_of(how);
   attempt_.end(outcome);
   switch (outcome) {
-    case attempt_outcome::answered:
+    case attempt_outcome::responded:
       ++report_.sends;
       answer_client();
       return;
@@ -256,8 +257,8 @@
   made.kind = terms_.route().kind;
   made.resumable = resumable();
   made.sends = static_cast<std::uint32_t>(report_.sends);
-  made.most_sends = terms_.route().max_endpoints;
-  made.answer_begun = answer_.begun();
+  made.max_sends = terms_.route().max_endpoints;
+  made.response_started = answer_.begun();
   made.has_last_event = answer_.last_event_id().has_value();
   return made;
 }
--- a/src/gateway/request_flow_history.cc
+++ b/src/gateway/request_flow_history.cc
@@ -45,7 +45,7 @@
   finished_turn turn;
   turn.input = request_.body;
   turn.output = answer_.events().data();
-  turn.tokens = answer_.events().whole_events() * terms_.tokens_per_event();
+  turn.tokens = answer_.events().complete_events() * terms_.tokens_per_event();
   turn.endpoint = attempt_.identity().text();
   const std::uint64_t began = elapsed_us();
   history_.keep(std::move(turn), finish_limit,
--- a/src/gateway/request_flow_permit.cc
+++ b/src/gateway/request_flow_permit.cc
@@ -18,7 +18,7 @@
 permit_use request_flow::use_of_permit() const {
   const bool starts = terms_.route().keeps_history && !facts_.program.empty() &&
                       facts_.previous_turn.empty();
-  return starts ? permit_use::starts_program : permit_use::goes_on;
+  return starts ? permit_use::starts_program : permit_use::regular;
 }
 
 void request_flow::acquire_permit() {
@@ -46,7 +46,7 @@
 
 void request_flow::take_permit(const limit_reached& reached) {
   if (!ended_) {
-    back_after_limit_ = return_time_at_limit(reached.next);
+    back_after_limit_ = retry_after_at_limit(reached.next);
     refuse(errc::workspace_limit);
   }
 }
--- a/src/gateway/request_flow_state.h
+++ b/src/gateway/request_flow_state.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-#include "trayrock/internal/decide/resend_rule.h"
+#include "trayrock/internal/decide/resend_policy.h"
 #include "trayrock/internal/gateway/client_answer.h"
 #include "trayrock/internal/gateway/endpoint_attempt.h"
 #include "trayrock/internal/gateway/request_flow.h"
@@ -92,7 +92,7 @@
   void send_next();
 
   // What the next endpoint should be like.
-  endpoint_choice wanted() const;
+  endpoint_criteria wanted() const;
   errc why_none_is_chosen() const;
   std::optional<int> urgency() const;
   void note_program();
@@ -107,7 +107,7 @@
   // late, unless those of its service all take longer.
   void arm_late_guard();
 
-  late_rule& late();  // of the request's service
+  slow_endpoint_detector& late();  // of the request's service
 
   // The endpoint is late when nothing comes from it for this long; zero: it
   // never is.
@@ -147,7 +147,7 @@
   gateway_parts parts_;
   http1_request request_;
   client_answer answer_;
-  request_facts facts_;
+  request_metadata facts_;
   request_terms terms_;
   turn_history history_;
   std::set<endpoint_identity> tried_;
--- a/src/gateway/request_report.cc
+++ b/src/gateway/request_report.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void report_request(metrics_registry& metrics, const request_facts& facts,
+void report_request(metrics_registry& metrics, const request_metadata& facts,
                     const request_report& ended) {
   metrics.add("requests_total",
               {{"route", ended.route}, {"outcome", ended.outcome}});
--- a/src/gateway/request_terms.cc
+++ b/src/gateway/request_terms.cc
@@ -9,7 +9,7 @@
 constexpr milliseconds default_timeout{10000};
 
 // Requests with the same key go to the same service.
-std::string_view placement_key(const request_facts& facts) {
+std::string_view placement_key(const request_metadata& facts) {
   return facts.program.empty() ? std::string_view(facts.attempt)
                                : std::string_view(facts.program);
 }
@@ -18,7 +18,7 @@
 
 std::optional<errc> request_terms::find(configuration_ptr from,
                                         const http1_request& request,
-                                        const request_facts& facts) {
+                                        const request_metadata& facts) {
   from_ = std::move(from);
   if (from_ == nullptr) {
     return errc::not_configured;
@@ -40,8 +40,8 @@
   return std::nullopt;
 }
 
-std::optional<errc> request_terms::check_key(const configuration* now,
-                                             const request_facts& facts) const {
+std::optional<errc> request_terms::check_key(
+    const configuration* now, const request_metadata& facts) const {
   if (owner_ == nullptr || now == from_.get() || !now->workspaces) {
     return std::nullopt;
   }
@@ -50,12 +50,13 @@
   return same ? std::nullopt : std::optional(errc::unknown_key);
 }
 
-std::optional<errc> request_terms::fit(const request_facts& facts,
-                                       const duration_book& durations,
+std::optional<errc> request_terms::fit(const request_metadata& facts,
+                                       const duration_estimator& durations,
                                        milliseconds time_to_end) {
   hold_ = route_->timeout.count() > 0 ? route_->timeout : default_timeout;
   hold_ = std::min(hold_, facts.time_left.value_or(hold_));
-  const stops_midway midway = stream() ? stops_midway::yes : stops_midway::no;
+  const partial_delivery midway =
+      stream() ? partial_delivery::yes : partial_delivery::no;
   if (durations.needed(route_->name, midway) > time_to_end) {
     return errc::stopping;
   }
--- a/src/gateway/turn_history.cc
+++ b/src/gateway/turn_history.cc
@@ -45,7 +45,7 @@
   if (reserved_) {
     reservation.set_program(program_);
     reservation.set_attempt(attempt_);
-    reservation.set_tokens(facts_.most_output_tokens);
+    reservation.set_tokens(facts_.max_output_tokens);
   }
   records_.reserve(reservation, asked_, limit, std::move(done));
 }
@@ -77,7 +77,7 @@
 std::optional<errc> turn_history::judge_budget(
     const program_usage& usage) const {
   const budget_verdict verdict =
-      usage.decide(bytes_of(id_of(attempt_)), facts_.most_output_tokens,
+      usage.decide(bytes_of(id_of(attempt_)), facts_.max_output_tokens,
                    *facts_.token_budget);
   if (verdict == budget_verdict::fits) {
     return std::nullopt;
@@ -86,7 +86,7 @@
            {{"request", facts_.attempt},
             {"program", facts_.program},
             {"budget", std::to_string(*facts_.token_budget)},
-            {"most", std::to_string(facts_.most_output_tokens)},
+            {"most", std::to_string(facts_.max_output_tokens)},
             {"used", std::to_string(usage.used())},
             {"open", std::to_string(usage.open())}});
   return verdict == budget_verdict::spent ? errc::tokens_spent
--- a/src/gateway/watch_follower.cc
+++ b/src/gateway/watch_follower.cc
@@ -64,14 +64,14 @@
   const auto go_on = [this](const auto& each) { act(each); };
   const std::uint64_t now = loop_.now_ms();
   if (handlers_.position().endpoints_revision != 0) {
-    std::visit(go_on, roles_.next(peers_.peers(), now));
+    std::visit(go_on, roles_.next_step(peers_.peers(), now));
     return;
   }
   const bool asked_platform = role_ == role::watches;
-  std::visit(go_on, asked_platform
-                        ? roles_.beside_platform(peers_.peers(), now)
-                        : roles_.first(peers_.peers(), handlers_.listed(),
-                                       milliseconds(now - started_ms_), now));
+  std::visit(go_on, asked_platform ? roles_.peer_step(peers_.peers(), now)
+                                   : roles_.initial_step(
+                                         peers_.peers(), handlers_.listed(),
+                                         milliseconds(now - started_ms_), now));
 }
 
 void watch_follower::act(const wait_for_peers&) {
@@ -83,7 +83,7 @@
   again_ = loop_.after(role_period, [this] { step(); });
 }
 
-void watch_follower::act(const ask_watcher& asked) {
+void watch_follower::act(const poll_watcher& asked) {
   asking_ = pool_.ask<records::WatchReply>(
       asked.address, "Watch", request(), timing_.wait + timing_.patience,
       [this, by = asked.address,
@@ -119,13 +119,13 @@
       told_by_watcher(by);
     }
   } else if (tells || !reply || !knew_nothing) {
-    roles_.unusable(by, loop_.now_ms());
+    roles_.on_failure(by, loop_.now_ms());
   }  // else both have just started
   again_ = loop_.after(pause, [this] { step(); });
 }
 
 void watch_follower::told_by_watcher(const std::string& by) {
-  roles_.heard(by);
+  roles_.on_reply(by);
   if (handlers_.hold()) {
     set_role(role::asks, by);
   }
--- a/src/gateway/workspaces.cc
+++ b/src/gateway/workspaces.cc
@@ -40,11 +40,11 @@
     std::vector<workspace_keys> from) {
   workspace_table made;
   for (workspace_keys& each : from) {
-    if (made.find(each.held.name) != nullptr) {
+    if (made.find(each.owner.name) != nullptr) {
       return errc::entry_repeats_name;
     }
     const std::size_t place = made.workspaces_.size();
-    made.workspaces_.push_back(std::move(each.held));
+    made.workspaces_.push_back(std::move(each.owner));
     for (std::string& key : each.keys) {
       const key_digest digest = digest_of(key);
       const auto [at, fresh] =
--- a/src/node/journal.cc
+++ b/src/node/journal.cc
@@ -66,10 +66,10 @@
   run_stored_waiters();
 }
 
-void journal::name_holder(const wire::CopyHolderNamed& holder) {
+void journal::set_holder(const wire::CopyHolderNamed& holder) {
   holder_failures_ = 0;
   copy_call_.cancel();
-  writer_->name_holder(holder, loop_.now_ms());
+  writer_->set_holder(holder, loop_.now_ms());
   pump();
 }
 
@@ -144,7 +144,7 @@
         } else if (answer.error() == errc::version_conflict) {
           outcome = put_outcome::exists;
         }
-        carry_out(writer_->put_answered(number, outcome, loop_.now_ms()));
+        carry_out(writer_->on_put_result(number, outcome, loop_.now_ms()));
         run_stored_waiters();
         pump();
       });
@@ -162,11 +162,11 @@
         const std::uint64_t now = loop_.now_ms();
         wire::Segment segment;
         if (answer && segment.ParseFromString(answer.value().bytes)) {
-          carry_out(writer_->read_answered(number, segment, now));
+          carry_out(writer_->on_read_result(number, segment, now));
         } else if (!answer && answer.error() == errc::not_found) {
-          carry_out(writer_->read_answered(number, std::nullopt, now));
+          carry_out(writer_->on_read_result(number, std::nullopt, now));
         } else {
-          writer_->read_failed(now);
+          writer_->on_read_failed(now);
         }
         run_stored_waiters();
         pump();
@@ -183,11 +183,11 @@
         if (!ack || ack.value().failure().code() != 0) {
           ++holder_failures_;
           metrics_.add("journal_copy_failures_total");
-          writer_->copy_failed(loop_.now_ms());
+          writer_->on_copy_failed(loop_.now_ms());
           return;
         }
         holder_failures_ = 0;
-        carry_out(writer_->copy_answered(ack.value().held_up_to()));
+        carry_out(writer_->on_copy_ack(ack.value().held_up_to()));
         pump();
       });
 }
--- a/src/node/journal_loader.cc
+++ b/src/node/journal_loader.cc
@@ -44,7 +44,7 @@
     return;
   }
   reader_ = journal_reader();
-  tail_ = tail_view();
+  tail_ = tail_state();
   list_segments();
 }
 
@@ -82,7 +82,7 @@
     return;
   }
   for (const wire::Segment& segment : read_) {
-    for (wire::Record& each : reader_.take(segment)) {
+    for (wire::Record& each : reader_.read(segment)) {
       records_.push_back(std::move(each));
     }
   }
@@ -115,37 +115,38 @@
     return;
   }
   const journal_name old = journal_name::parse(source().journal());
-  const member_view* member = shared_.members().find(old.node);
+  const peer_state* member = shared_.members().find(old.node);
   const bool self = old.node == shared_.members().self().node();
   tail_.holder_named = reader_.holder().has_value();
-  tail_.holder_box_gone =
+  tail_.holder_box_removed =
       tail_.holder_named && shared_.box_gone(reader_.holder()->node());
-  tail_.owner_gone = (self && old.start != shared_.start_id()) ||
-                     (member != nullptr && old.start < member->peer.start()) ||
-                     shared_.box_gone(old.node);
+  tail_.owner_stopped =
+      (self && old.start != shared_.start_id()) ||
+      (member != nullptr && old.start < member->peer.start()) ||
+      shared_.box_gone(old.node);
   switch (next_tail_step(tail_)) {
-    case tail_step::nothing_needed:
+    case tail_step::no_tail:
       ++at_;
       next_source();
       break;
-    case tail_step::ask_holder:
-      ask_holder();
+    case tail_step::request_from_holder:
+      request_from_holder();
       break;
-    case tail_step::ask_owner:
+    case tail_step::request_from_owner:
       ask_old_owner(
           self ? shared_.members().self().address()
                : (member == nullptr ? std::string() : member->peer.address()));
       break;
-    case tail_step::take_tail:
-      take_tail();
+    case tail_step::apply_tail:
+      apply_tail();
       break;
-    case tail_step::go_on_without:
-      go_on_without();
+    case tail_step::continue_without_tail:
+      continue_without_tail();
       break;
   }
 }
 
-void journal_loader::ask_holder() {
+void journal_loader::request_from_holder() {
   const wire::CopyHolderNamed& holder = *reader_.holder();
   wire::CopyClaim claim;
   claim.set_journal(source().journal());
@@ -155,7 +156,7 @@
       holder.address(), "CopyClaim", claim, claim_timeout,
       [this](result<wire::CopyTail> tail) {
         tail_.holder = take_answer(std::move(tail));
-        if (tail_.holder == tail_answer::given) {
+        if (tail_.holder == tail_reply::received) {
           claimed_.push_back(*reader_.holder());
         }
         step_later(tail_.holder);
@@ -173,35 +174,35 @@
                                 });
 }
 
-tail_answer journal_loader::take_answer(result<wire::CopyTail> tail) {
+tail_reply journal_loader::take_answer(result<wire::CopyTail> tail) {
   if (!tail) {
-    return tail_answer::unreachable;
+    return tail_reply::unreachable;
   }
   if (tail.value().other_start()) {
-    return tail_answer::other_start;
+    return tail_reply::other_start;
   }
   given_ = std::move(tail.value());
-  return tail_answer::given;
+  return tail_reply::received;
 }
 
-void journal_loader::step_later(tail_answer answer) {
+void journal_loader::step_later(tail_reply answer) {
   const milliseconds pause =
-      answer == tail_answer::unreachable ? retry_pause : milliseconds(0);
+      answer == tail_reply::unreachable ? retry_pause : milliseconds(0);
   retry_ = loop_.after(pause, [this] { claim_tail(); });
 }
 
-void journal_loader::take_tail() {
+void journal_loader::apply_tail() {
   log_info("tail_taken", {{"journal", source().journal()},
                           {"records", std::to_string(given_.records_size())}});
   for (wire::Record& each :
-       reader_.take_tail({given_.records().begin(), given_.records().end()})) {
+       reader_.read_tail({given_.records().begin(), given_.records().end()})) {
     records_.push_back(std::move(each));
   }
   ++at_;
   next_source();
 }
 
-void journal_loader::go_on_without() {
+void journal_loader::continue_without_tail() {
   metrics_.add("tails_lost_total");
   log_warn("tail_lost", {{"journal", source().journal()}});
   ++at_;
--- a/src/node/journal_upkeep.cc
+++ b/src/node/journal_upkeep.cc
@@ -30,7 +30,7 @@
     return;
   }
   if (named.has_value()) {
-    const member_view* member = shared_.members().find(named->node());
+    const peer_state* member = shared_.members().find(named->node());
     const bool fine = member != nullptr && !member->peer.gone() &&
                       member->peer.start() == named->start() &&
                       !shared_.node_leaving(named->node()) &&
@@ -43,7 +43,7 @@
   }
   const wire::Peer* best = nullptr;
   std::uint64_t best_score = 0;
-  for (const member_view* each : shared_.members().others()) {
+  for (const peer_state* each : shared_.members().live_peers()) {
     const wire::Peer& peer = each->peer;
     if (peer.entry() || shared_.node_leaving(peer.node())) {
       continue;
@@ -65,7 +65,7 @@
   holder.set_node(best->node());
   holder.set_start(best->start());
   holder.set_address(best->address());
-  journal_->name_holder(holder);
+  journal_->set_holder(holder);
 }
 
 // Copies of journals whose owner is gone and that the stored map does not
@@ -74,7 +74,7 @@
   std::vector<std::string> orphaned;
   for (const std::string& each : copies_.journal_names()) {
     const journal_name name = journal_name::parse(each);
-    const member_view* member = shared_.members().find(name.node);
+    const peer_state* member = shared_.members().find(name.node);
     const bool gone = member == nullptr || member->peer.gone() ||
                       member->peer.start() != name.start ||
                       member->peer.journal() != each;
@@ -121,7 +121,7 @@
   compacting_ = true;
   metrics_.add("compactions_total");
   if (journal_->writer().holder().has_value()) {
-    journal_->name_holder(wire::CopyHolderNamed(*journal_->writer().holder()));
+    journal_->set_holder(wire::CopyHolderNamed(*journal_->writer().holder()));
   }
   for (wire::Record& each : owner_.snapshots(owner_.served())) {
     journal_->append(std::move(each));
--- a/src/node/owner.cc
+++ b/src/node/owner.cc
@@ -92,7 +92,7 @@
   pause_shards(shards);
   for (const std::string& id : book_.ids()) {
     if (shards.contains(shard_for(id))) {
-      book_.forget(id);
+      book_.remove(id);
       ended_at_ms_.erase(id);
     }
   }
@@ -129,7 +129,7 @@
     for (const program_state* each :
          book_.in_shard(shard, shared_.map().shards())) {
       if (!each->ended) {
-        made.push_back(program_book::snapshot(*each, shard));
+        made.push_back(program_table::snapshot(*each, shard));
       }
     }
   }
@@ -207,7 +207,8 @@
     reply->finish();
     return;
   }
-  const auto found = book_.find_for(request.program(), request.member());
+  const auto found =
+      book_.find_for_workspace(request.program(), request.member());
   if (const auto* failure = std::get_if<wire::Failure>(&found)) {
     *answer.mutable_failure() = *failure;
     reply->send(answer);
@@ -241,7 +242,8 @@
     reply->finish();
     return;
   }
-  const auto found = book_.find_for(request.program(), request.member());
+  const auto found =
+      book_.find_for_workspace(request.program(), request.member());
   if (const auto* failure = std::get_if<wire::Failure>(&found)) {
     *answer.mutable_failure() = *failure;
   } else {
@@ -258,10 +260,10 @@
   reply->finish();
 }
 
-call_terms owner::terms_for(const wire::CallRequest& request,
-                            const program_state* program) const {
+call_settings owner::terms_for(const wire::CallRequest& request,
+                               const program_state* program) const {
   constexpr std::uint32_t default_tokens = 256;
-  call_terms terms;
+  call_settings terms;
   const std::string own = program == nullptr ? "" : program->spec.service();
   terms.service = request.service().empty() ? own : request.service();
   terms.conversational = terms.service == own;
@@ -284,7 +286,7 @@
   }
   metrics_.add("calls_total");
   const program_state* program = book_.find(request.program());
-  const call_terms terms = terms_for(request, program);
+  const call_settings terms = terms_for(request, program);
   call_decision decision = book_.admit(request, terms, wall_clock_ms());
   // A settled call whose outcome is not durable yet is still under way.
   const auto running = active_.find(request.program());
@@ -350,7 +352,7 @@
 void owner::refresh_reports() {
   constexpr std::uint64_t fresh_ms = 1000;
   const std::uint64_t now = loop_.now_ms();
-  for (const member_view* member : shared_.members().others()) {
+  for (const peer_state* member : shared_.members().live_peers()) {
     for (const wire::RunnerLoad& load : member->peer.loads()) {
       const runner_report& held = reports_[load.endpoint()];
       if (held.at_ms + fresh_ms < now) {
@@ -381,7 +383,7 @@
     if (each.second + ended_kept_ms > now || active_.contains(each.first)) {
       return false;
     }
-    book_.forget(each.first);
+    book_.remove(each.first);
     return true;
   });
 }
@@ -389,7 +391,7 @@
 void owner::release_at_runners(const program_state& program) {
   std::set<std::pair<std::string, std::string>> seen;
   for (const turn& each : program.turns) {
-    const member_view* member = shared_.members().find(each.intent.node());
+    const peer_state* member = shared_.members().find(each.intent.node());
     const bool self = each.intent.node() == shared_.members().self().node();
     if ((member == nullptr && !self) ||
         !seen.emplace(each.intent.node(), each.intent.endpoint()).second) {
--- a/src/node/owner_call.cc
+++ b/src/node/owner_call.cc
@@ -23,7 +23,7 @@
   active->begun_ms = loop_.now_ms();
   active->listeners.push_back(reply);
   active_[active->intent.program()] = active;
-  retries_of(active->intent.service()).note_call();
+  retries_of(active->intent.service()).record_call();
   place(active);
 }
 
@@ -48,7 +48,7 @@
   std::vector<runner_view> made;
   for (const auto& [name, spec] : config.endpoints) {
     const bool self_node = spec.node == self.node();
-    const member_view* member = shared_.members().find(spec.node);
+    const peer_state* member = shared_.members().find(spec.node);
     if (spec.service != active.intent.service() || spec.leaving ||
         active.tried.contains(name) || shared_.node_leaving(spec.node) ||
         (!self_node && member == nullptr)) {
@@ -88,7 +88,7 @@
   }
   const policy_spec& policy = shared_.config().policy;
   const auto chosen =
-      choose_runner(routing_by_name(policy.routing, policy.cache_weight),
+      choose_runner(parse_routing_policy(policy.routing, policy.cache_weight),
                     wanted, views, random_);
   if (!chosen) {
     give_up(active, make_failure(errc::no_runner, wire::RAN_NO,
@@ -159,7 +159,7 @@
     request.mutable_messages()->MergeFrom(intent.messages());
   }
   const bool self = intent.node() == shared_.members().self().node();
-  const member_view* member = shared_.members().find(intent.node());
+  const peer_state* member = shared_.members().find(intent.node());
   const std::string address =
       self ? shared_.members().self().address()
            : (member == nullptr ? "" : member->peer.address());
@@ -230,7 +230,7 @@
   ++active->attach_tries;
   const wire::CallIntent& intent = active->intent;
   const bool self = intent.node() == shared_.members().self().node();
-  const member_view* member = shared_.members().find(intent.node());
+  const peer_state* member = shared_.members().find(intent.node());
   const std::string known_start =
       self ? shared_.start_id()
            : (member == nullptr ? "" : member->peer.start());
--- a/src/node/runner_gate.cc
+++ b/src/node/runner_gate.cc
@@ -151,18 +151,18 @@
 void runner_gate::execute(const wire::ExecuteRequest& request,
                           const rpc_reply_ptr& reply) {
   const request_key key = key_of(request);
-  switch (table_.arrive(request, loop_.now_ms())) {
-    case table_verdict::run:
+  switch (table_.register_request(request, loop_.now_ms())) {
+    case request_decision::run:
       admit(request, reply);
       break;
-    case table_verdict::attach:
+    case request_decision::attach:
       attach(key, reply, request.term());
       break;
-    case table_verdict::refuse_start:
+    case request_decision::refuse_start:
       refuse(request, reply, errc::wrong_start, 0, false);
       break;
-    case table_verdict::refuse_term:
-    case table_verdict::refuse_past:
+    case request_decision::refuse_term:
+    case request_decision::refuse_stale:
       refuse(request, reply, errc::stale_term, 0, false);
       break;
   }
@@ -262,7 +262,7 @@
   while (const auto next = on.queue.start_next(loop_.now_ms())) {
     const auto found = executions_.find(next->key);
     if (found == executions_.end()) {
-      on.queue.ended(0);
+      on.queue.on_finished(0);
       continue;
     }
     run(on, *found->second);
@@ -455,7 +455,7 @@
     on->second->queue.remove(key);
     return;
   }
-  on->second->queue.ended(loop_.now_ms() - held->started_ms);
+  on->second->queue.on_finished(loop_.now_ms() - held->started_ms);
   start_waiting(*on->second);
 }
 
--- a/src/node/shard_handover.cc
+++ b/src/node/shard_handover.cc
@@ -29,7 +29,7 @@
   shard_receivers receivers;
   std::set<std::uint32_t> shards;
   for (const auto& [shard, node] : plan) {
-    const member_view* member = shared_.members().find(node);
+    const peer_state* member = shared_.members().find(node);
     if (member != nullptr && !member->peer.journal().empty()) {
       receivers[shard] = {node, member->peer.journal(), member->peer.address()};
       shards.insert(shard);
@@ -51,7 +51,7 @@
     const std::uint64_t end = journal_->writer().segments();
     change_map(
         [from, receivers, first, end](const wire::ShardMap& stored) {
-          return with_handed_over(stored, from, receivers, {first, end});
+          return hand_over_shards(stored, from, receivers, {first, end});
         },
         [this, shards, receivers](bool changed) {
           if (changed) {
--- a/src/node/shard_keeper.cc
+++ b/src/node/shard_keeper.cc
@@ -138,7 +138,7 @@
       changing_map_ = false;
       return;
     }
-    const wire::ShardMap first = first_map(
+    const wire::ShardMap first = make_initial_map(
         static_cast<std::uint32_t>(settings_.shards), self_as_owner());
     platform_.put(std::string(stored_map_key), first.SerializeAsString(), 0,
                   [this, first](result<std::uint64_t> put) {
@@ -237,7 +237,7 @@
   journal_->when_stored([this, shards, claimed, sources] {
     change_map(
         [this, shards](const wire::ShardMap& stored) {
-          return with_sources_read(stored, journal_->name(), shards);
+          return remove_read_sources(stored, journal_->name(), shards);
         },
         [](bool) {});
     for (const wire::CopyHolderNamed& holder : claimed) {
@@ -287,7 +287,7 @@
                static_cast<double>(owner_.served().size()));
   metrics_.set("copies_held_bytes", {}, static_cast<double>(copies_.bytes()));
   metrics_.set("journal_waiting_bytes", {},
-               static_cast<double>(journal_->writer().waiting_bytes()));
+               static_cast<double>(journal_->writer().pending_bytes()));
 }
 
 void shard_keeper::serve_copies(rpc_server& server) {
--- a/src/node/shard_takeover.cc
+++ b/src/node/shard_takeover.cc
@@ -17,7 +17,7 @@
       continue;
     }
     const journal_name name = journal_name::parse(held_by);
-    const member_view* member = shared_.members().find(name.node);
+    const peer_state* member = shared_.members().find(name.node);
     const bool own_past = name.node == self.node();
     const bool restarted =
         member != nullptr && member->peer.start() > name.start;
@@ -60,7 +60,7 @@
   }
   const std::size_t seen = static_cast<std::size_t>(
       std::count_if(owners.begin(), owners.end(), [this](const auto& each) {
-        const member_view* member = shared_.members().find(each);
+        const peer_state* member = shared_.members().find(each);
         return each == shared_.members().self().node() ||
                (member != nullptr && !member->peer.gone());
       }));
@@ -134,7 +134,7 @@
       static_cast<double>(loop_.now_ms() - takeover_begun_ms_[journal]));
   change_map(
       [this, journal, number](const wire::ShardMap& stored) {
-        return with_sealed_moved(stored, journal, number, self_as_owner());
+        return reassign_sealed_shards(stored, journal, number, self_as_owner());
       },
       [this, journal](bool) { taking_over_.erase(journal); });
 }
--- a/src/platform/platform_client.cc
+++ b/src/platform/platform_client.cc
@@ -45,7 +45,7 @@
   return version;
 }
 
-// The reply's JSON object, or the error that stands for its absence.
+// The reply's JSON object, or the error that stands for its missing_cause.
 result<nlohmann::json> json_of(const result<http_reply>& reply) {
   if (!reply) {
     return reply.error();
