--- a/src/records/permit_client.cc
+++ b/src/records/permit_client.cc
@@ -50,7 +50,7 @@
     std::visit([this](const auto& each) { act(each); }, next);
   }
 
-  void act(const ask_store& asked) {
+  void act(const try_store& asked) {
     tried.insert(asked.store);
     const records::Store* to =
         find_store(client.records_.group().voters(), asked.store);
@@ -66,7 +66,7 @@
   void act(const limit_reached& reached) { finish(reached); }
 
   // Every store has been asked. The next round goes by relays.
-  void act(const no_store_answers&) {
+  void act(const no_store_available&) {
     tried.clear();
     relayed = !relayed && client.relays_.pick != nullptr;
     again = client.loop_.after(relayed ? milliseconds(0) : next_round_pause,
@@ -133,17 +133,17 @@
       if (answer && answer.value().has_group()) {
         client.records_.adopt(answer.value().group());
       }
-      client.sources_.silent(store, now);
+      client.sources_.on_failure(store, now);
       step();
       return;
     }
-    client.sources_.answered(store);
+    client.sources_.on_reply(store);
     if (answer.value().given()) {
       finish(permit{wish.workspace, store, answer.value().slot()});
       return;
     }
-    client.sources_.refused(wish.workspace, wish.use, store,
-                            milliseconds(answer.value().next_ms()), now);
+    client.sources_.on_refusal(wish.workspace, wish.use, store,
+                               milliseconds(answer.value().next_ms()), now);
     step();
   }
 
@@ -179,7 +179,7 @@
     return;
   }
   epoch_ = group.epoch();
-  std::vector<permit_store_place> stores;
+  std::vector<permit_store_location> stores;
   for (const records::Store& each : group.voters()) {
     stores.push_back({each.id(), each.data_centre()});
   }
--- a/src/records/permit_server.cc
+++ b/src/records/permit_server.cc
@@ -67,7 +67,7 @@
   }
   keeping& held = keeping_[request.workspace()];
   ++held.unsynced;
-  if (held.unsynced > book_.most_unsynced(request.workspace())) {
+  if (held.unsynced > book_.max_unsynced(request.workspace())) {
     held.waiting.push_back({answer, reply});
   } else {
     reply->send(answer);
@@ -99,7 +99,7 @@
       request.workspace(),
       {request.per_second(), request.burst(), request.configuration()},
       request.starts_program() ? permit_use::starts_program
-                               : permit_use::goes_on,
+                               : permit_use::regular,
       loop_.now_ms());
   if (const auto* given = std::get_if<permit_given>(&said)) {
     answer.set_given(true);
--- a/src/records/store_calls.cc
+++ b/src/records/store_calls.cc
@@ -19,7 +19,7 @@
 }
 
 void store_reach::note_answer(const std::string& store, bool relayed) {
-  contact.heard();
+  contact.on_reply();
   if (relayed) {
     if (paths.answered_by_relay(store, loop.now_ms())) {
       log_warn("dependency_lost",
@@ -54,7 +54,7 @@
         }
       });
   reach_.paths.asked(id, reach_.loop.now_ms());
-  reach_.contact.asked(reach_.loop.now_ms());
+  reach_.contact.on_request_sent(reach_.loop.now_ms());
   if (reach_.relays.pick) {
     watch_silence(to, asked);
   }
@@ -125,7 +125,7 @@
     // An empty answer says that the relay does not reach the store.
     const bool relay_answered = answer.error() == errc::wire_garbled;
     if (relay_answered) {
-      reach_.contact.heard();
+      reach_.contact.on_reply();
     }
     relays.failed(via, relay_answered ? relay_failure::store_unreachable
                                       : relay_failure::silent);
--- a/src/records/store_membership_driver.cc
+++ b/src/records/store_membership_driver.cc
@@ -61,9 +61,9 @@
 
 void store_membership_driver::share_watches(const membership_view& seen) {
   if (!settings_.shares_watches || needs_platform(seen)) {
-    registry_.release();
+    registry_.resume();
   } else {
-    registry_.hold();
+    registry_.pause();
   }
 }
 
@@ -131,7 +131,7 @@
   reader_.fence_previous_voters();
   const records::StoreState& state = server_.state();
   const store_peers& peers = reader_.peers();
-  if (!peers.joined(state)) {
+  if (!peers.has_joined(state)) {
     return;
   }
   log_info("store_counts",
@@ -151,15 +151,14 @@
   made.retiring_ms = retiring_since_ms_ == 0 ? 0 : now - retiring_since_ms_;
   made.peers = reader_.peers().views(now);
   made.change_pending = changing_;
-  made.retirement_told = reader_.told_retiring(settings_.self.box());
+  made.peer_reported_retirement = reader_.told_retiring(settings_.self.box());
   made.keeps_learners_ready = settings_.keeps_learners_ready;
-  if (!has_open_place(made)) {
+  if (!has_vacancy(made)) {
     place_open_since_ms_ = 0;
   } else if (place_open_since_ms_ == 0) {
     place_open_since_ms_ = now;
   }
-  made.place_open_ms =
-      place_open_since_ms_ == 0 ? 0 : now - place_open_since_ms_;
+  made.vacancy_ms = place_open_since_ms_ == 0 ? 0 : now - place_open_since_ms_;
   return made;
 }
 
@@ -183,13 +182,14 @@
 }
 
 void store_membership_driver::act(const become_learner& learning) {
-  change(with_learner(server_.state().group(), settings_.self, learning.gone),
+  change(with_learner(server_.state().group(), settings_.self,
+                      learning.lost_learners),
          "learn", "new", "");
 }
 
-void store_membership_driver::act(const take_place& place) {
-  change(with_voter(server_.state().group(), settings_.self, place.leaving),
-         "vote", place.cause, place.leaving);
+void store_membership_driver::act(const become_voter& place) {
+  change(with_voter(server_.state().group(), settings_.self, place.replaced),
+         "vote", place.cause, place.replaced);
 }
 
 // ---- Retirement ------------------------------------------------------------
--- a/src/records/store_reader.cc
+++ b/src/records/store_reader.cc
@@ -52,8 +52,8 @@
 // Learners are only asked whether they live.
 bool store_reader::is_due(const store_peer& from) const {
   const std::uint64_t since =
-      loop_.now_ms() - std::max(from.answered_ms, from.first_asked_ms);
-  if (since >= calm_pull_period_ms || from.answered_ms == 0) {
+      loop_.now_ms() - std::max(from.last_reply_ms, from.first_polled_ms);
+  if (since >= calm_pull_period_ms || from.last_reply_ms == 0) {
     return true;
   }
   const bool behind = reads_records() && !from.read_to_end;
@@ -85,7 +85,7 @@
   const store_peer* const source = peers_.find(full_source_);
   return source == nullptr || source->read_to_end ||
          source->id_at_address != full_source_ ||
-         loop_.now_ms() - source->answered_ms >= calm_pull_period_ms;
+         loop_.now_ms() - source->last_reply_ms >= calm_pull_period_ms;
 }
 
 // The voter that is read in full. Stores that learn at the same time should not
@@ -116,7 +116,7 @@
   request.set_log(held.log);
   request.set_after(held.position);
   request.set_kind(kind);
-  peers_.pull_began(id);
+  peers_.on_pull_started(id);
   held.pulling = pool_.ask<records::PullReply>(
       from.store.address(), "Pull", request, call_limit,
       [this, id, kind](result<records::PullReply> answer) {
@@ -130,7 +130,7 @@
     return;
   }
   const records::PullReply& reply = answer.value();
-  if (!peers_.answered(id, reply, loop_.now_ms())) {
+  if (!peers_.on_pull_reply(id, reply, loop_.now_ms())) {
     return;
   }
   readings_[id].retiring_boxes = {reply.retiring_boxes().begin(),
@@ -215,7 +215,7 @@
   }
   readings_[id].log = reply.log();
   readings_[id].position = reply.position();
-  peers_.read(id, !reply.more());
+  peers_.on_records_stored(id, !reply.more());
   if (reply.more()) {
     pull(*from);
   }
@@ -241,7 +241,7 @@
   readings_[id].fencing = pool_.ask<records::FenceReply>(
       voter.store.address(), "Fence", request, call_limit,
       [this, id, epoch](result<records::FenceReply> answer) {
-        if (answer && peers_.fence_answered(id, answer.value(), epoch)) {
+        if (answer && peers_.on_fence_reply(id, answer.value(), epoch)) {
           pull(*peers_.find(id));
         }
       });
--- a/src/settings/service_settings.cc
+++ b/src/settings/service_settings.cc
@@ -37,7 +37,7 @@
 // The mechanisms that a trial leaves out.
 void read_trial(strict_object& trial, mechanism_set& off) {
   for (const std::string& name : trial.texts_or_empty("without")) {
-    if (const std::optional<mechanism> known = mechanism_named(name)) {
+    if (const std::optional<mechanism> known = parse_mechanism(name)) {
       off.insert(*known);
       continue;
     }
--- a/test/cold_endpoint_load_test.cc
+++ b/test/cold_endpoint_load_test.cc
@@ -77,7 +77,7 @@
     known.replace(endpoints(), false, {start_ms, start_ms});
     std::vector<relay_peer> others = peers_;
     others.erase(others.begin() + static_cast<std::ptrdiff_t>(own));
-    known.share_cold(
+    known.update_cold_shares(
         [&](const cold_limit& limit, const endpoint& of) {
           return cold_share(limit, of.identity, of.data_centre, peers_[own],
                             others);
@@ -109,11 +109,11 @@
     while (!endings_.empty() && endings_.top().at_ms <= now_ms) {
       const ending done = endings_.top();
       endings_.pop();
-      endpoint_directory::end(*done.at, attempt_outcome::answered, turn_ms,
-                              done.at_ms);
+      endpoint_directory::end_attempt(*done.at, attempt_outcome::responded,
+                                      turn_ms, done.at_ms);
     }
     const std::size_t own = random_() % directories_.size();
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.service = "s";
     wanted.data_centre = peers_[own].data_centre;
     wanted.draw = random_();
@@ -123,7 +123,7 @@
       ++seen_.refused;
       return;
     }
-    endpoint_directory::begin(*to, now_ms);
+    endpoint_directory::begin_attempt(*to, now_ms);
     endings_.push({now_ms + turn_ms, to});
     const int number = std::stoi(to->record.identity.id);
     if (is_cold(number) && now_ms < start_ms + cold_ms) {
--- a/test/collection_watcher_test.cc
+++ b/test/collection_watcher_test.cc
@@ -162,14 +162,14 @@
     platform::collection_watcher watcher(loop, store, "things", quick_pace());
     int while_held = -1;
     watcher.on_snapshot([&](const platform::object_listing&, bool) {
-      CPPUNIT_ASSERT(watcher.hold());
+      CPPUNIT_ASSERT(watcher.pause());
     });
     watcher.on_change([&](const platform::object_change&) { loop.stop(); });
-    CPPUNIT_ASSERT(!watcher.hold());
+    CPPUNIT_ASSERT(!watcher.pause());
     watcher.start();
     const timer release = loop.after(milliseconds(400), [&] {
       while_held = platform.watches("things");
-      watcher.release();
+      watcher.resume();
     });
     loop.run();
     CPPUNIT_ASSERT_EQUAL(0, while_held);
@@ -205,13 +205,13 @@
     event_loop loop;
     metrics_registry metrics;
     silenceable_platform platform(loop);
-    probe_pace probes;
-    probes.repeat_ms = 50;
+    probe_schedule probes;
+    probes.hedge_interval_ms = 50;
     platform::object_store store(loop, platform.where(), metrics, probes);
     platform::collection_watcher watcher(loop, store, "things", quick_pace());
     watcher.on_snapshot([&](const platform::object_listing&, bool) {
-      CPPUNIT_ASSERT(watcher.hold());
-      watcher.release();
+      CPPUNIT_ASSERT(watcher.pause());
+      watcher.resume();
     });
     watcher.on_change([&](const platform::object_change&) { loop.stop(); });
     watcher.start();
--- a/test/config_store_test.cc
+++ b/test/config_store_test.cc
@@ -37,7 +37,7 @@
     accept(store, {make_declaration("Member", "b", "{}", 2)});
     CPPUNIT_ASSERT(!store.adopt(first));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, store.generation());
-    CPPUNIT_ASSERT(store.whole().members.contains("b"));
+    CPPUNIT_ASSERT(store.current().members.contains("b"));
   }
 
   void delta_from_a_later_start_is_not_taken() {
@@ -47,7 +47,7 @@
     config_store empty;
     CPPUNIT_ASSERT(!empty.adopt(ahead.delta(1)));
     CPPUNIT_ASSERT(empty.adopt(ahead.delta(0)));
-    CPPUNIT_ASSERT(empty.whole().members.contains("a"));
+    CPPUNIT_ASSERT(empty.current().members.contains("a"));
   }
 
   void declarations_may_refer_to_each_other_in_any_order() {
@@ -57,7 +57,7 @@
         {make_declaration("Program", "talk", R"({"service": "assistant"})", 1),
          make_declaration("Service", "assistant", "{}", 2)});
     CPPUNIT_ASSERT(outcome.refused.empty());
-    CPPUNIT_ASSERT(store.whole().programs.contains("talk"));
+    CPPUNIT_ASSERT(store.current().programs.contains("talk"));
   }
 
   void faulty_declaration_keeps_its_accepted_form() {
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, outcome.refused.size());
     CPPUNIT_ASSERT_EQUAL(0, outcome.generation.changes_size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7},
-                         store.whole().members.at("a").max_programs);
+                         store.current().members.at("a").max_programs);
   }
 
   void all_faults_of_a_declaration_are_listed() {
--- a/test/configuration_proof_test.cc
+++ b/test/configuration_proof_test.cc
@@ -118,9 +118,9 @@
       at.knows_any = true;
       at.knows_change = at.knows_change || each.of_change;
       if (each.from_peer) {
-        at.proof.told(each.sent_ms, each.age);
+        at.proof.on_peer_reply(each.sent_ms, each.age);
       } else {
-        at.proof.shown(each.sent_ms);
+        at.proof.on_platform_response(each.sent_ms);
       }
       at.best_proof_ms =
           std::max(at.best_proof_ms,
@@ -132,7 +132,7 @@
   void read_requests(gateway& at) {
     for (const std::uint64_t sent : at.requests) {
       const bool runs_it =
-          at.knows_any && at.proof.holds(now_ms_) && !at.knows_change;
+          at.knows_any && at.proof.is_valid(now_ms_) && !at.knows_change;
       const auto bound = static_cast<std::uint64_t>(limit.count());
       if (runs_it) {
         ++runs;
@@ -141,7 +141,7 @@
       constexpr std::uint64_t margin = 200;
       const bool in_time =
           at.best_proof_ms != 0 && now_ms_ - at.best_proof_ms + margin <= bound;
-      refused_with_proof += in_time && !at.proof.holds(now_ms_) ? 1 : 0;
+      refused_with_proof += in_time && !at.proof.is_valid(now_ms_) ? 1 : 0;
     }
     at.requests.clear();
   }
@@ -167,51 +167,51 @@
  public:
   void nothing_holds_before_the_first_proof() {
     const configuration_proof proof(limit);
-    CPPUNIT_ASSERT(!proof.holds(100));
-    CPPUNIT_ASSERT(proof.is_ageing(100));
+    CPPUNIT_ASSERT(!proof.is_valid(100));
+    CPPUNIT_ASSERT(proof.needs_refresh(100));
     CPPUNIT_ASSERT(!proof.age(100).has_value());
   }
 
   void proof_counts_from_the_sending_of_its_call() {
     configuration_proof proof(limit);
-    proof.shown(10000);
-    CPPUNIT_ASSERT(proof.holds(14800));
-    CPPUNIT_ASSERT(!proof.holds(15000));
+    proof.on_platform_response(10000);
+    CPPUNIT_ASSERT(proof.is_valid(14800));
+    CPPUNIT_ASSERT(!proof.is_valid(15000));
   }
 
   void proof_of_another_counts_from_the_question() {
     configuration_proof proof(limit);
-    proof.told(10000, milliseconds(2000));
-    CPPUNIT_ASSERT(proof.holds(12800));
-    CPPUNIT_ASSERT(!proof.holds(13000));
+    proof.on_peer_reply(10000, milliseconds(2000));
+    CPPUNIT_ASSERT(proof.is_valid(12800));
+    CPPUNIT_ASSERT(!proof.is_valid(13000));
   }
 
   void older_proof_never_replaces_a_later_one() {
     configuration_proof proof(limit);
-    proof.shown(10000);
-    proof.told(10500, milliseconds(3000));
+    proof.on_platform_response(10000);
+    proof.on_peer_reply(10500, milliseconds(3000));
     CPPUNIT_ASSERT_EQUAL(1000L, static_cast<long>(proof.age(11000)->count()));
   }
 
   void others_are_asked_before_the_proof_ends() {
     configuration_proof proof(limit);
-    proof.shown(10000);
-    CPPUNIT_ASSERT(!proof.is_ageing(12500));
-    CPPUNIT_ASSERT(proof.is_ageing(12501));
+    proof.on_platform_response(10000);
+    CPPUNIT_ASSERT(!proof.needs_refresh(12500));
+    CPPUNIT_ASSERT(proof.needs_refresh(12501));
   }
 
   void without_a_limit_all_holds() {
     const configuration_proof proof(std::nullopt);
-    CPPUNIT_ASSERT(proof.holds(1000000));
-    CPPUNIT_ASSERT(!proof.is_ageing(1000000));
+    CPPUNIT_ASSERT(proof.is_valid(1000000));
+    CPPUNIT_ASSERT(!proof.needs_refresh(1000000));
   }
 
   void watches_wait_so_that_proofs_come_in_time() {
     constexpr milliseconds usual{5000};
-    CPPUNIT_ASSERT_EQUAL(1000L,
-                         static_cast<long>(proving_wait(limit, usual).count()));
-    CPPUNIT_ASSERT(proving_wait(std::nullopt, usual) == usual);
-    CPPUNIT_ASSERT(proving_wait(milliseconds(60000), usual) == usual);
+    CPPUNIT_ASSERT_EQUAL(
+        1000L, static_cast<long>(max_watch_wait(limit, usual).count()));
+    CPPUNIT_ASSERT(max_watch_wait(std::nullopt, usual) == usual);
+    CPPUNIT_ASSERT(max_watch_wait(milliseconds(60000), usual) == usual);
   }
 
   void no_order_of_events_runs_a_key_too_late() {
--- a/test/duration_book_test.cc
+++ b/test/duration_estimator_test.cc
@@ -1,5 +1,5 @@
 // How long a route's requests take.
-#include "trayrock/internal/decide/duration_book.h"
+#include "trayrock/internal/decide/duration_estimator.h"
 
 #include "test_support.h"
 
@@ -18,14 +18,14 @@
 
  public:
   void route_with_few_samples_is_unknown() {
-    duration_book durations;
+    duration_estimator durations;
     add(durations, 15, 10);
-    CPPUNIT_ASSERT(durations.longest("chat") == duration_book::unknown);
-    CPPUNIT_ASSERT(durations.longest("other") == duration_book::unknown);
+    CPPUNIT_ASSERT(durations.longest("chat") == duration_estimator::unknown);
+    CPPUNIT_ASSERT(durations.longest("other") == duration_estimator::unknown);
   }
 
   void longest_of_the_last_counts() {
-    duration_book durations;
+    duration_estimator durations;
     add(durations, 20, 10);
     add(durations, 1, 900);
     add(durations, 20, 10);
@@ -33,7 +33,7 @@
   }
 
   void old_samples_are_forgotten() {
-    duration_book durations;
+    duration_estimator durations;
     add(durations, 1, 900);
     add(durations, 64, 10);
     CPPUNIT_ASSERT(durations.longest("chat") == milliseconds(10));
@@ -42,19 +42,19 @@
   // A stream of 1.4 s, longer than the 64
   // before it, was broken off by the end of its gateway.
   void stream_needs_more_than_the_longest_of_late() {
-    duration_book durations;
+    duration_estimator durations;
     add(durations, 20, 100);
-    CPPUNIT_ASSERT(durations.needed("chat", stops_midway::no) ==
+    CPPUNIT_ASSERT(durations.needed("chat", partial_delivery::no) ==
                    milliseconds(100));
-    CPPUNIT_ASSERT(durations.needed("chat", stops_midway::yes) ==
+    CPPUNIT_ASSERT(durations.needed("chat", partial_delivery::yes) ==
                    milliseconds(2600));
     add(durations, 1, 2000);
-    CPPUNIT_ASSERT(durations.needed("chat", stops_midway::yes) ==
+    CPPUNIT_ASSERT(durations.needed("chat", partial_delivery::yes) ==
                    milliseconds(3600));
   }
 
  private:
-  static void add(duration_book& durations, int count, int ms) {
+  static void add(duration_estimator& durations, int count, int ms) {
     for (int i = 0; i < count; ++i) {
       durations.add("chat", milliseconds(ms));
     }
--- a/test/endpoint_choice_load_test.cc
+++ b/test/endpoint_choice_load_test.cc
@@ -120,7 +120,7 @@
 
   void come(std::size_t index) {
     turn& made = turns_[index];
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.preferred = {made.previous};
     const std::string data_centre =
         std::to_string(made.gateway % data_centre_count);
@@ -220,8 +220,8 @@
 
 choice_policy first_of_the_quickest() {
   choice_policy made;
-  made.draws_among_equals = false;
-  made.levels_latencies = false;
+  made.breaks_ties_randomly = false;
+  made.ignores_latency_noise = false;
   return made;
 }
 
--- a/test/endpoint_directory_test.cc
+++ b/test/endpoint_directory_test.cc
@@ -2,7 +2,7 @@
 #include "trayrock/internal/gateway/endpoint_directory.h"
 
 #include "test_support.h"
-#include "trayrock/internal/decide/lapse_rule.h"
+#include "trayrock/internal/decide/record_expiry.h"
 
 namespace trayrock::testing {
 namespace {
@@ -61,7 +61,7 @@
   void records_that_lapse_at_once_stay_for_a_moment() {
     endpoint_directory endpoints;
     endpoints.replace({named("a")}, false, {start_ms});
-    endpoints.lapse({"a"}, 0, {start_ms});
+    endpoints.expire({"a"}, 0, {start_ms});
     endpoints.sweep(start_ms + 2000);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), chosen(endpoints, start_ms + 2000));
     endpoints.update(named("a"), start_ms);
@@ -72,7 +72,7 @@
   void lapsed_record_that_does_not_come_back_goes() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
-    endpoints.lapse({"a"}, 0, {start_ms});
+    endpoints.expire({"a"}, 0, {start_ms});
     endpoints.sweep(start_ms + 2500);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
@@ -82,7 +82,7 @@
     endpoint leaving = named("a");
     leaving.draining = true;
     endpoints.replace({leaving, named("b")}, false, {start_ms});
-    endpoints.lapse({"a"}, 0, {start_ms});
+    endpoints.expire({"a"}, 0, {start_ms});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
 
@@ -116,11 +116,11 @@
   }
 
   void few_removals_are_no_lapse() {
-    CPPUNIT_ASSERT(lapsed_at_once(68, 68));
-    CPPUNIT_ASSERT(lapsed_at_once(3, 4));
-    CPPUNIT_ASSERT(!lapsed_at_once(34, 68));
-    CPPUNIT_ASSERT(!lapsed_at_once(2, 2));
-    CPPUNIT_ASSERT(!lapsed_at_once(0, 0));
+    CPPUNIT_ASSERT(is_mass_expiry(68, 68));
+    CPPUNIT_ASSERT(is_mass_expiry(3, 4));
+    CPPUNIT_ASSERT(!is_mass_expiry(34, 68));
+    CPPUNIT_ASSERT(!is_mass_expiry(2, 2));
+    CPPUNIT_ASSERT(!is_mass_expiry(0, 0));
   }
 
   void endpoint_that_refuses_is_not_the_least_loaded() {
@@ -135,7 +135,7 @@
     endpoints.replace({named("a")}, false, {start_ms});
     attempt_at(endpoints, "a", attempt_outcome::refused);
     endpoints.update(named("b"), start_ms);
-    endpoint_directory::begin(*state_of(endpoints, "b"), start_ms);
+    endpoint_directory::begin_attempt(*state_of(endpoints, "b"), start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), chosen(endpoints, start_ms + 500));
   }
 
@@ -150,15 +150,15 @@
   void instance_that_another_gateway_missed_gets_nothing() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
-    CPPUNIT_ASSERT(endpoints.supersede({"a"}));
-    CPPUNIT_ASSERT(!endpoints.supersede({"a"}));
+    CPPUNIT_ASSERT(endpoints.mark_superseded({"a"}));
+    CPPUNIT_ASSERT(!endpoints.mark_superseded({"a"}));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen(endpoints, start_ms + 10));
   }
 
   void report_that_comes_before_the_late_record_counts() {
     endpoint_directory endpoints;
     endpoints.replace({named("b")}, false, {start_ms});
-    endpoints.supersede({"a"});
+    endpoints.mark_superseded({"a"});
     endpoints.update(named("a"), start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen(endpoints, start_ms + 10));
   }
@@ -174,7 +174,7 @@
 
   static std::shared_ptr<endpoint_state> state_of(
       const endpoint_directory& endpoints, const std::string& id) {
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.service = service;
     wanted.preferred = {id};
     auto found = endpoints.choose(wanted, start_ms);
@@ -186,13 +186,13 @@
   static void attempt_at(endpoint_directory& endpoints, const std::string& id,
                          attempt_outcome outcome) {
     const auto at = state_of(endpoints, id);
-    endpoint_directory::begin(*at, start_ms);
-    endpoint_directory::end(*at, outcome, 1, start_ms);
+    endpoint_directory::begin_attempt(*at, start_ms);
+    endpoint_directory::end_attempt(*at, outcome, 1, start_ms);
   }
 
   static std::string chosen(const endpoint_directory& endpoints,
                             std::uint64_t now_ms) {
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.service = service;
     const auto found = endpoints.choose(wanted, now_ms);
     return found == nullptr ? std::string() : found->record.identity.id;
--- a/test/endpoint_identity_test.cc
+++ b/test/endpoint_identity_test.cc
@@ -34,7 +34,7 @@
 
 endpoint_state_ptr chosen(const endpoint_directory& endpoints,
                           std::uint64_t at_ms = now_ms) {
-  endpoint_choice wanted;
+  endpoint_criteria wanted;
   wanted.service = service;
   return endpoints.choose(wanted, at_ms);
 }
@@ -95,12 +95,12 @@
 
     endpoints.update(instance(second_start, 2), now_ms);
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
-    CPPUNIT_ASSERT(!chosen(endpoints)->health.avoided(now_ms));
+    CPPUNIT_ASSERT(!chosen(endpoints)->health.is_in_backoff(now_ms));
   }
 
   void new_instance_has_nothing_in_flight() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
-    endpoint_directory::begin(*chosen(endpoints), now_ms);
+    endpoint_directory::begin_attempt(*chosen(endpoints), now_ms);
     endpoints.update(instance(second_start, 2), now_ms);
     CPPUNIT_ASSERT_EQUAL(0U, chosen(endpoints)->in_flight);
   }
@@ -149,7 +149,7 @@
   void late_removal_of_the_former_instance_changes_nothing() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     endpoints.remove({"a", first_start}, 9);
-    endpoints.lapse({"a", first_start}, 9, {now_ms});
+    endpoints.expire({"a", first_start}, 9, {now_ms});
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, endpoints.unlisted());
   }
@@ -165,30 +165,31 @@
   void late_answer_of_the_former_instance_changes_nothing() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
     const endpoint_state_ptr former = chosen(endpoints);
-    endpoint_directory::begin(*former, now_ms);
+    endpoint_directory::begin_attempt(*former, now_ms);
     endpoints.update(instance(second_start, 2), now_ms);
-    endpoint_directory::begin(*chosen(endpoints), now_ms);
-    endpoint_directory::end(*former, attempt_outcome::unreachable, 1, now_ms);
+    endpoint_directory::begin_attempt(*chosen(endpoints), now_ms);
+    endpoint_directory::end_attempt(*former, attempt_outcome::unreachable, 1,
+                                    now_ms);
     CPPUNIT_ASSERT_EQUAL(1U, chosen(endpoints)->in_flight);
-    CPPUNIT_ASSERT(!chosen(endpoints)->health.avoided(now_ms));
+    CPPUNIT_ASSERT(!chosen(endpoints)->health.is_in_backoff(now_ms));
   }
 
   void reports_of_the_former_instance_change_nothing() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     for (const std::uint64_t start : {first_start, std::uint64_t{0}}) {
-      CPPUNIT_ASSERT(!endpoints.supersede({"a", start}));
+      CPPUNIT_ASSERT(!endpoints.mark_superseded({"a", start}));
       for (const char* gateway : {"g1", "g2", "g3", "g4"}) {
         CPPUNIT_ASSERT(
-            !endpoints.report_failure({"a", start}, gateway, now_ms));
+            !endpoints.record_peer_failure({"a", start}, gateway, now_ms));
       }
     }
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
-    CPPUNIT_ASSERT(!chosen(endpoints)->health.avoided(now_ms));
+    CPPUNIT_ASSERT(!chosen(endpoints)->health.is_in_backoff(now_ms));
   }
 
   void report_that_comes_before_the_new_record_counts_then() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
-    endpoints.supersede({"a", second_start});
+    endpoints.mark_superseded({"a", second_start});
     CPPUNIT_ASSERT_EQUAL(first_start, chosen_start(endpoints));
     endpoints.update(instance(second_start, 2), now_ms);
     CPPUNIT_ASSERT(chosen(endpoints) == nullptr);
@@ -199,7 +200,7 @@
     endpoint other = instance(0, 3);
     other.identity = {"b", first_start};
     endpoints.update(other, now_ms);
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.service = service;
     wanted.preferred = {"a", first_start};
     // Which of two that look alike is drawn goes by the request.
@@ -215,7 +216,7 @@
   void request_may_try_the_new_instance_behind_the_former() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     const std::set<endpoint_identity> tried{{"a", first_start}};
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.service = service;
     wanted.excluded = &tried;
     CPPUNIT_ASSERT(endpoints.choose(wanted, now_ms) != nullptr);
@@ -238,8 +239,8 @@
 
  private:
   static void attempt(endpoint_state& at, attempt_outcome outcome) {
-    endpoint_directory::begin(at, now_ms);
-    endpoint_directory::end(at, outcome, 1, now_ms);
+    endpoint_directory::begin_attempt(at, now_ms);
+    endpoint_directory::end_attempt(at, outcome, 1, now_ms);
   }
 
   // One thing that a gateway hears.
@@ -281,10 +282,10 @@
         endpoints.remove(heard.about.identity, heard.about.revision);
         return;
       case word::kind::failure:
-        endpoints.report_failure(heard.about.identity, "other", now_ms);
+        endpoints.record_peer_failure(heard.about.identity, "other", now_ms);
         return;
       case word::kind::superseded:
-        endpoints.supersede(heard.about.identity);
+        endpoints.mark_superseded(heard.about.identity);
         return;
     }
   }
--- a/test/fault_soak_test.cc
+++ b/test/fault_soak_test.cc
@@ -22,8 +22,8 @@
 #include <sstream>
 #include <thread>
 
-#include "kept_connection.h"
 #include "key_probes.h"
+#include "persistent_connection.h"
 #include "service_deployment.h"
 #include "test_support.h"
 
@@ -199,7 +199,7 @@
   void run_prober() {
     std::mt19937 random(seed_ + 900000);
     while (!over_) {
-      seen_probe probe = probes_.next(random);
+      key_probe probe = probes_.next(random);
       const std::string bytes =
           "GET /unsafe/a HTTP/1.1\r\nHost: local\r\nAuthorization: Bearer " +
           key_probes::key_text(probe.key) +
@@ -227,12 +227,12 @@
     record("take key " + std::to_string(gone) + " away");
     system_.set_workspaces(workspaces_with(gone + 1));
     system_.configure(gone + 2);
-    probes_.key_taken_away();
+    probes_.record_revocation();
   }
 
   // A connection of this client, kept for as long as the gateway keeps it.
-  kept_connection& any_gateway(std::mt19937& random) {
-    thread_local std::map<std::string, kept_connection> connections;
+  persistent_connection& any_gateway(std::mt19937& random) {
+    thread_local std::map<std::string, persistent_connection> connections;
     const std::string name = random() % 2 == 0 ? "gateway-1" : "gateway-2";
     return connections.try_emplace(name, system_.port(name)).first->second;
   }
--- a/test/gateway_policy_test.cc
+++ b/test/gateway_policy_test.cc
@@ -46,7 +46,7 @@
   void every_mechanism_has_a_name_of_its_own() {
     std::set<mechanism> seen;
     for (const std::string_view name : mechanism_names()) {
-      const std::optional<mechanism> known = mechanism_named(name);
+      const std::optional<mechanism> known = parse_mechanism(name);
       CPPUNIT_ASSERT_MESSAGE(std::string(name), known.has_value());
       CPPUNIT_ASSERT_EQUAL(std::string(name), names_of({*known}));
       seen.insert(*known);
@@ -57,7 +57,7 @@
   void each_mechanism_changes_the_policy() {
     const std::set<mechanism> of_stores{mechanism::ready_learners};
     for (const std::string_view name : mechanism_names()) {
-      const mechanism each = *mechanism_named(name);
+      const mechanism each = *parse_mechanism(name);
       const bool same = policy_without({each}) == gateway_policy();
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(name), of_stores.contains(each),
                                    same);
@@ -94,24 +94,24 @@
 
   void refusal_costs_no_pause_without_refusal_pauses() {
     health_policy policy;
-    policy.pauses_after_refusals = false;
+    policy.backs_off_after_refusals = false;
     endpoint_health health(policy);
-    CPPUNIT_ASSERT(!health.refused(start_ms));
-    CPPUNIT_ASSERT(!health.avoided(start_ms + 1));
+    CPPUNIT_ASSERT(!health.record_refusal(start_ms));
+    CPPUNIT_ASSERT(!health.is_in_backoff(start_ms + 1));
   }
 
   void endpoint_is_not_on_trial_without_trials() {
     health_policy policy;
-    policy.tries_behind_pauses = false;
+    policy.has_probation_after_backoff = false;
     endpoint_health health(policy);
-    health.unreachable(start_ms);
-    CPPUNIT_ASSERT(health.avoided(start_ms + 10));
-    CPPUNIT_ASSERT(!health.on_trial(start_ms + 1000));
+    health.record_unreachable(start_ms);
+    CPPUNIT_ASSERT(health.is_in_backoff(start_ms + 10));
+    CPPUNIT_ASSERT(!health.is_on_probation(start_ms + 1000));
   }
 
   void turn_goes_by_load_without_previous_endpoint() {
     const auto endpoints = two_endpoints();
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.preferred = {"b"};
     endpoints[1]->in_flight = 1;
     choice_policy policy;
@@ -124,29 +124,29 @@
 
   void late_is_the_objective_without_comparison() {
     const std::chrono::milliseconds objective(200);
-    late_policy policy;
-    policy.limit = objective_alone{};
-    late_rule rule(policy);
+    slow_endpoint_policy policy;
+    policy.limit = objective_only{};
+    slow_endpoint_detector rule(policy);
     for (int i = 0; i < 50; ++i) {
-      rule.answer_began(std::chrono::milliseconds(900));
+      rule.record_first_byte(std::chrono::milliseconds(900));
     }
-    CPPUNIT_ASSERT(rule.late_after(objective) == objective);
+    CPPUNIT_ASSERT(rule.first_byte_timeout(objective) == objective);
   }
 
   void late_endpoint_is_kept_when_none_is_left() {
-    late_policy policy;
-    policy.leaves = false;
-    CPPUNIT_ASSERT(!late_rule(policy).leave());
-    CPPUNIT_ASSERT(late_rule().leave());
+    slow_endpoint_policy policy;
+    policy.allows_resend = false;
+    CPPUNIT_ASSERT(!slow_endpoint_detector(policy).acquire_resend());
+    CPPUNIT_ASSERT(slow_endpoint_detector().acquire_resend());
   }
 
   void stopping_gateway_reckons_with_a_fixed_time_without_durations() {
-    duration_book durations{by_fixed_time{}};
+    duration_estimator durations{by_fixed_time{}};
     for (int i = 0; i < 50; ++i) {
       durations.add("chat", std::chrono::milliseconds(20));
     }
-    CPPUNIT_ASSERT(durations.needed("chat", stops_midway::no) ==
-                   duration_book::unknown);
+    CPPUNIT_ASSERT(durations.needed("chat", partial_delivery::no) ==
+                   duration_estimator::unknown);
   }
 };
 
--- a/test/gateway_rules_test.cc
+++ b/test/gateway_rules_test.cc
@@ -80,7 +80,7 @@
       event_stream events;
       events.add(bytes.substr(0, cut));
       events.add(bytes.substr(cut));
-      CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, events.whole_events());
+      CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, events.complete_events());
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, events.started_events());
       CPPUNIT_ASSERT_EQUAL(std::string("one\ntwo\nmore\n"), events.data());
     }
@@ -101,7 +101,7 @@
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "x"), endpoint_of("b", "x")}, false,
                       {now});
-    endpoint_choice wanted{"s", {"b"}, "x", nullptr, nullptr};
+    endpoint_criteria wanted{"s", {"b"}, "x", nullptr, nullptr};
     const auto chosen = directory.choose(wanted, now);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen->record.identity.id);
 
@@ -114,9 +114,9 @@
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "x"), endpoint_of("b", "x")}, false,
                       {now});
-    endpoint_choice wanted{"s", {"a"}, "x", nullptr, nullptr};
-    endpoint_directory::end(*directory.choose(wanted, now),
-                            attempt_outcome::unreachable, 1, now);
+    endpoint_criteria wanted{"s", {"a"}, "x", nullptr, nullptr};
+    endpoint_directory::end_attempt(*directory.choose(wanted, now),
+                                    attempt_outcome::unreachable, 1, now);
     CPPUNIT_ASSERT_EQUAL(std::string("b"),
                          directory.choose(wanted, now)->record.identity.id);
     directory.remove({"b"}, 0);
@@ -128,7 +128,7 @@
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "far"), endpoint_of("b", "near")},
                       false, {now});
-    endpoint_choice wanted{"s", {""}, "near", nullptr, nullptr};
+    endpoint_criteria wanted{"s", {""}, "near", nullptr, nullptr};
     CPPUNIT_ASSERT_EQUAL(std::string("b"),
                          directory.choose(wanted, now)->record.identity.id);
   }
@@ -137,11 +137,11 @@
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "far"), endpoint_of("b", "near")},
                       false, {now});
-    endpoint_choice wanted{"s", {""}, "near", nullptr, nullptr};
+    endpoint_criteria wanted{"s", {""}, "near", nullptr, nullptr};
     std::string chosen;
     for (int i = 0; i < 4; ++i) {
       const endpoint_state_ptr to = directory.choose(wanted, now);
-      endpoint_directory::begin(*to, now);
+      endpoint_directory::begin_attempt(*to, now);
       chosen += to->record.identity.id;
     }
     CPPUNIT_ASSERT_EQUAL(std::string("bbab"), chosen);
@@ -185,12 +185,12 @@
     request.headers.add("Connection", "close, X-Private");
     request.headers.add("X-Private", "1");
     request.headers.add("X-Kept", "yes");
-    const request_facts facts = platform::decode_request(request);
+    const request_metadata facts = platform::decode_request(request);
     const http1_request sent = platform::endpoint_request(
         request, {std::chrono::milliseconds(700), "i-1", std::nullopt});
 
     CPPUNIT_ASSERT_EQUAL(std::string("a1"), facts.attempt);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{136}, facts.most_output_tokens);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{136}, facts.max_output_tokens);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, facts.prompt.size());
     CPPUNIT_ASSERT(!sent.headers.has("Trayrock-Hold"));
     CPPUNIT_ASSERT(!sent.headers.has("Trayrock-Pin-Ms"));
@@ -217,7 +217,7 @@
     const route found =
         decoded_route({{"resumable", true}, {"gapTargetMs", 200}});
     CPPUNIT_ASSERT(found.resumable);
-    CPPUNIT_ASSERT(found.longest_pause == std::chrono::milliseconds(200));
+    CPPUNIT_ASSERT(found.max_event_gap == std::chrono::milliseconds(200));
     CPPUNIT_ASSERT(!decoded_route(nlohmann::json::object()).resumable);
     CPPUNIT_ASSERT(!platform::decode_configuration(
         configured_with({{"resumable", "yes"}})));
@@ -228,7 +228,7 @@
     const route odd = decoded_route(
         {{"sloMs", -5}, {"gapTargetMs", "long"}, {"timeoutMs", 1e300}});
     CPPUNIT_ASSERT(odd.latency_objective == milliseconds(0));
-    CPPUNIT_ASSERT(odd.longest_pause == milliseconds(0));
+    CPPUNIT_ASSERT(odd.max_event_gap == milliseconds(0));
     CPPUNIT_ASSERT(odd.timeout > milliseconds(0));
   }
 
--- a/test/contact_rule_test.cc
+++ b/test/isolation_detector_test.cc
@@ -3,10 +3,10 @@
 // Clients of a gateway that was cut off from all other boxes for 7 s got
 // refusals after 1.1 s each, again and again, and programs died of them. It
 // could reserve no turn, and said that it was ready.
-#include "trayrock/internal/decide/contact_rule.h"
+#include "trayrock/internal/decide/isolation_detector.h"
 
 #include "test_support.h"
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 
 namespace trayrock::testing {
 namespace {
@@ -32,15 +32,15 @@
   void run(std::uint64_t until_ms) {
     for (; now_ < until_ms; now_ += step_ms) {
       if (now_ % turn_period_ms == 0) {
-        contact_.asked(now_);
+        contact_.on_request_sent(now_);
         asked_at_ = now_;
       }
       const bool answered = asked_at_ + answer_ms == now_;
       const bool cut = now_ >= around_.cut_at_ms && now_ < around_.healed_at_ms;
       if (answered && (!cut || around_.peers_answer)) {
-        contact_.heard();
+        contact_.on_reply();
       }
-      if (now_ % contact_rule::tick_period_ms == 0) {
+      if (now_ % isolation_detector::tick_period_ms == 0) {
         contact_.tick(now_);
       }
       note();
@@ -53,7 +53,7 @@
 
  private:
   void note() {
-    const bool cut_off = contact_.cut_off();
+    const bool cut_off = contact_.is_isolated();
     changes_ += cut_off != was_cut_off_ ? 1 : 0;
     if (cut_off && first_cut_off_ == 0) {
       first_cut_off_ = now_;
@@ -65,7 +65,7 @@
   }
 
   surroundings around_;
-  contact_rule contact_;
+  isolation_detector contact_;
   std::uint64_t now_ = step_ms;
   std::uint64_t asked_at_ = 0;
   bool was_cut_off_ = false;
@@ -110,42 +110,42 @@
   }
 
   void quiet_is_no_cut() {
-    contact_rule contact;
+    isolation_detector contact;
     for (std::uint64_t now = 100; now < 60000; now += 100) {
       contact.tick(now);
     }
-    CPPUNIT_ASSERT(!contact.cut_off());
+    CPPUNIT_ASSERT(!contact.is_isolated());
   }
 
   void process_that_stood_still_is_not_cut_off() {
-    contact_rule contact;
+    isolation_detector contact;
     contact.tick(1000);
-    contact.asked(1010);
+    contact.on_request_sent(1010);
     contact.tick(7000);
-    CPPUNIT_ASSERT(!contact.cut_off());
+    CPPUNIT_ASSERT(!contact.is_isolated());
     contact.tick(7100);
-    CPPUNIT_ASSERT(!contact.cut_off());
+    CPPUNIT_ASSERT(!contact.is_isolated());
   }
 
   void first_answer_ends_it() {
-    contact_rule contact;
-    contact.asked(1000);
+    isolation_detector contact;
+    contact.on_request_sent(1000);
     for (std::uint64_t now = 1000; now <= 2000; now += 100) {
       contact.tick(now);
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, contact.cut_off_since_ms());
-    contact.heard();
-    CPPUNIT_ASSERT(!contact.cut_off());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, contact.isolated_since_ms());
+    contact.on_reply();
+    CPPUNIT_ASSERT(!contact.is_isolated());
   }
 
   // Two of its questions, a second apart, after the gateway has begun to say
   // that it is not ready; then another gateway gets the next connection.
   void clients_are_sent_away_for_as_long_as_the_balancer_needs() {
-    CPPUNIT_ASSERT(return_time_when_cut_off(milliseconds(0)) ==
+    CPPUNIT_ASSERT(retry_after_when_isolated(milliseconds(0)) ==
                    milliseconds(3000));
-    CPPUNIT_ASSERT(return_time_when_cut_off(milliseconds(2200)) ==
+    CPPUNIT_ASSERT(retry_after_when_isolated(milliseconds(2200)) ==
                    milliseconds(800));
-    CPPUNIT_ASSERT(return_time_when_cut_off(milliseconds(9000)) ==
+    CPPUNIT_ASSERT(retry_after_when_isolated(milliseconds(9000)) ==
                    milliseconds(50));
   }
 };
--- a/test/journal_writer_test.cc
+++ b/test/journal_writer_test.cc
@@ -31,7 +31,7 @@
     writer_.append(wire::Record(), 0);
     writer_.append(wire::Record(), 0);
     CPPUNIT_ASSERT(writer_.poll(0).empty());
-    writer_.put_answered(first.number, put_outcome::stored, 0);
+    writer_.on_put_result(first.number, put_outcome::stored, 0);
     const auto second = only<put_segment>(writer_.poll(0));
     wire::Segment segment;
     segment.ParseFromString(second.bytes);
@@ -41,13 +41,13 @@
   void lost_answer_is_read_back_not_written_blindly() {
     writer_.append(wire::Record(), 0);
     const auto put = only<put_segment>(writer_.poll(0));
-    writer_.put_answered(put.number, put_outcome::uncertain, 0);
+    writer_.on_put_result(put.number, put_outcome::uncertain, 0);
     CPPUNIT_ASSERT_EQUAL(put.number,
                          only<read_segment>(writer_.poll(1000)).number);
     wire::Segment own;
     own.ParseFromString(put.bytes);
     const auto ack =
-        only<acknowledge>(writer_.read_answered(put.number, own, 1000));
+        only<acknowledge>(writer_.on_read_result(put.number, own, 1000));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, ack.up_to);
   }
 
@@ -55,19 +55,19 @@
     writer_.append(wire::Record(), 0);
     const auto put = only<put_segment>(writer_.poll(0));
     writer_.append(wire::Record(), 0);
-    writer_.put_answered(put.number, put_outcome::uncertain, 0);
+    writer_.on_put_result(put.number, put_outcome::uncertain, 0);
     writer_.poll(1000);
     const auto again = only<put_segment>(
-        writer_.read_answered(put.number, std::nullopt, 1000));
+        writer_.on_read_result(put.number, std::nullopt, 1000));
     CPPUNIT_ASSERT(put.bytes == again.bytes);
   }
 
   void holder_is_used_only_once_it_is_stored() {
-    writer_.name_holder(make_holder("h1"), 0);
+    writer_.set_holder(make_holder("h1"), 0);
     const auto put = only<put_segment>(writer_.poll(0));
     writer_.append(wire::Record(), 0);
     CPPUNIT_ASSERT(writer_.poll(50).empty());
-    writer_.put_answered(put.number, put_outcome::stored, 50);
+    writer_.on_put_result(put.number, put_outcome::stored, 50);
     bool copied = false;
     for (const journal_action& each : writer_.poll(50)) {
       copied = copied || std::holds_alternative<send_copy>(each);
@@ -76,10 +76,10 @@
   }
 
   void former_holder_is_released_once_all_is_stored() {
-    writer_.name_holder(make_holder("h1"), 0);
+    writer_.set_holder(make_holder("h1"), 0);
     store_all();
     writer_.append(wire::Record(), 0);
-    writer_.name_holder(make_holder("h2"), 0);
+    writer_.set_holder(make_holder("h2"), 0);
     CPPUNIT_ASSERT_EQUAL(0, releases(writer_.poll(0)));
     CPPUNIT_ASSERT(writer_.has_former_holders());
     CPPUNIT_ASSERT_EQUAL(1, store_all());
@@ -89,16 +89,16 @@
   void sealed_journal_acknowledges_nothing_more() {
     writer_.append(wire::Record(), 0);
     const auto put = only<put_segment>(writer_.poll(0));
-    writer_.put_answered(put.number, put_outcome::exists, 0);
+    writer_.on_put_result(put.number, put_outcome::exists, 0);
     writer_.poll(0);
     wire::Segment seal;
     seal.set_writer("other");
     seal.mutable_seal()->set_by("other");
-    only<step_down>(writer_.read_answered(put.number, seal, 0));
+    only<step_down>(writer_.on_read_result(put.number, seal, 0));
     CPPUNIT_ASSERT(writer_.sealed());
     writer_.append(wire::Record(), 0);
     CPPUNIT_ASSERT(writer_.poll(1000).empty());
-    CPPUNIT_ASSERT(writer_.copy_answered(2).empty());
+    CPPUNIT_ASSERT(writer_.on_copy_ack(2).empty());
   }
 
  private:
@@ -125,7 +125,7 @@
       const journal_actions actions = writer_.poll(0);
       seen += releases(actions);
       for (std::uint64_t number = 0; number < 10; ++number) {
-        writer_.put_answered(number, put_outcome::stored, 0);
+        writer_.on_put_result(number, put_outcome::stored, 0);
       }
     }
     return seen;
--- a/test/key_probes.cc
+++ b/test/key_probes.cc
@@ -14,27 +14,27 @@
   return gone_at_.size();
 }
 
-seen_probe key_probes::next(std::mt19937& random) {
+key_probe key_probes::next(std::mt19937& random) {
   const std::scoped_lock lock(guard_);
   const std::size_t newest = gone_at_.size();
-  seen_probe made;
+  key_probe made;
   made.attempt = "q" + std::to_string(number_++);
   made.key = random() % 3 == 0 ? random() % (newest + 1) : newest;
   made.sent = std::chrono::steady_clock::now();
   return made;
 }
 
-void key_probes::add(const seen_probe& ended) {
+void key_probes::add(const key_probe& ended) {
   const std::scoped_lock lock(guard_);
   ended_.push_back(ended);
 }
 
-void key_probes::key_taken_away() {
+void key_probes::record_revocation() {
   const std::scoped_lock lock(guard_);
   gone_at_.push_back(std::chrono::steady_clock::now());
 }
 
-bool key_probes::ran_too_late(const seen_probe& probe) const {
+bool key_probes::ran_too_late(const key_probe& probe) const {
   return probe.key < gone_at_.size() &&
          probe.sent > gone_at_[probe.key] + revocation_limit;
 }
@@ -44,8 +44,8 @@
     const std::map<std::string, int>& runs) const {
   const std::scoped_lock lock(guard_);
   std::vector<std::string> found;
-  std::vector<seen_probe> ran;
-  for (const seen_probe& each : ended_) {
+  std::vector<key_probe> ran;
+  for (const key_probe& each : ended_) {
     if (!runs.contains(each.attempt)) {
       continue;
     }
--- a/test/key_probes.h
+++ b/test/key_probes.h
@@ -7,10 +7,10 @@
 //
 // Example:
 //   key_probes probes;
-//   seen_probe probe = probes.next(random);
+//   key_probe probe = probes.next(random);
 //   ... probe.sent, probe.answered ...
 //   probes.add(probe);
-//   probes.key_taken_away();
+//   probes.record_revocation();
 //   for (const std::string& fault : probes.faults(runs)) report(fault);
 #pragma once
 
@@ -24,7 +24,7 @@
 namespace trayrock::testing {
 
 // One request with a key that may have been taken away.
-struct seen_probe {
+struct key_probe {
   std::string attempt;
   std::size_t key = 0;  // which one, in the order of their coming
   std::chrono::steady_clock::time_point sent;
@@ -46,22 +46,22 @@
   std::size_t newest_key() const;
 
   // The next request, with the newest key in two of three.
-  seen_probe next(std::mt19937& random);
+  key_probe next(std::mt19937& random);
 
-  void add(const seen_probe& ended);
+  void add(const key_probe& ended);
 
   // The platform has acknowledged that the newest key has gone.
-  void key_taken_away();
+  void record_revocation();
 
   // `runs` are how often each attempt has run.
   std::vector<std::string> faults(const std::map<std::string, int>& runs) const;
 
  private:
-  bool ran_too_late(const seen_probe& probe) const;
+  bool ran_too_late(const key_probe& probe) const;
 
   mutable std::mutex guard_;
   int number_ = 0;
-  std::vector<seen_probe> ended_;
+  std::vector<key_probe> ended_;
   // When the keys before the newest were certainly gone, in their order.
   std::vector<std::chrono::steady_clock::time_point> gone_at_;
 };
--- a/test/leaving_endpoint_test.cc
+++ b/test/leaving_endpoint_test.cc
@@ -12,7 +12,7 @@
 // The last test plays the gateway's calls in virtual time, with the product's
 // own directory, over every phase of the cut's end against those calls.
 #include "test_support.h"
-#include "trayrock/internal/decide/probe_pace.h"
+#include "trayrock/internal/decide/probe_schedule.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
 
 namespace trayrock::testing {
@@ -34,7 +34,7 @@
 
 // Which endpoint gets a request that would best go to the leaving one.
 std::string chosen(const endpoint_directory& endpoints, std::uint64_t now_ms) {
-  endpoint_choice wanted;
+  endpoint_criteria wanted;
   wanted.service = service;
   wanted.preferred = {"leaving"};
   wanted.data_centre = "x";
@@ -53,12 +53,12 @@
                                                     named("c")};
 
 // How calls to the platform fail while it is away.
-enum class absence { silent, refuses };
+enum class missing_cause { silent, refuses };
 
 // One gateway and the platform, which is away for it until `back_ms`.
 class cut_off_gateway {
  public:
-  cut_off_gateway(absence how, std::uint64_t back_ms)
+  cut_off_gateway(missing_cause how, std::uint64_t back_ms)
       : how_(how), back_ms_(back_ms), endpoints_(directory_of_four()) {}
 
   // The listing that follows the first call that is answered.
@@ -66,9 +66,9 @@
     std::uint64_t pause_ms = 0;
     while (now_ms_ < back_ms_) {
       unserved_ms_ = now_ms_;
-      now_ms_ +=
-          how_ == absence::silent ? pace_.wait_ms + pace_.margin_ms : answer_ms;
-      pause_ms = next_pause_ms(pace_, pause_ms);
+      now_ms_ += how_ == missing_cause::silent ? pace_.wait_ms + pace_.margin_ms
+                                               : answer_ms;
+      pause_ms = next_backoff_ms(pace_, pause_ms);
       now_ms_ += pause_ms;
     }
     now_ms_ += 2 * answer_ms;
@@ -92,9 +92,9 @@
   }
 
  private:
-  absence how_;
+  missing_cause how_;
   std::uint64_t back_ms_;
-  probe_pace pace_;
+  probe_schedule pace_;
   std::uint64_t now_ms_ = 1;
   std::uint64_t unserved_ms_ = 0;
   endpoint_directory endpoints_;
@@ -121,7 +121,7 @@
   void removal_that_looks_like_a_lapse_is_heeded_in_time() {
     endpoint_directory endpoints = directory_of_four();
     for (const char* id : {"leaving", "a", "b"}) {
-      endpoints.lapse({id}, 0, {20640, 19105});
+      endpoints.expire({id}, 0, {20640, 19105});
     }
     CPPUNIT_ASSERT(chosen(endpoints, 19105 + reconnect_ms) != "leaving");
   }
@@ -130,16 +130,18 @@
     constexpr std::uint64_t first_ms = 4000;
     constexpr std::uint64_t last_ms = 16000;
     constexpr std::uint64_t step_ms = 7;
-    for (const absence how : {absence::silent, absence::refuses}) {
+    for (const missing_cause how :
+         {missing_cause::silent, missing_cause::refuses}) {
       for (std::uint64_t back = first_ms; back < last_ms; back += step_ms) {
         cut_off_gateway gateway(how, back);
         gateway.list_again();
         const std::uint64_t last = gateway.last_used_ms();
         TRAYROCK_CHECK(last < back + reconnect_ms,
-                       "cut ends at "
-                           << back << ", silent " << (how == absence::silent)
-                           << "; the endpoint was last chosen " << last - back
-                           << " ms later, allowed " << reconnect_ms);
+                       "cut ends at " << back << ", silent "
+                                      << (how == missing_cause::silent)
+                                      << "; the endpoint was last chosen "
+                                      << last - back << " ms later, allowed "
+                                      << reconnect_ms);
       }
     }
   }
--- a/test/membership_test.cc
+++ b/test/membership_test.cc
@@ -34,29 +34,31 @@
  public:
   void silent_node_is_gone_and_a_higher_beat_brings_it_back() {
     membership view(make_peer("a", 1));
-    view.hear(make_peer("b", 1), 0);
+    view.apply_update(make_peer("b", 1), 0);
     for (std::uint64_t now = 0; now <= suspect_ms; now += 100) {
-      CPPUNIT_ASSERT(view.judge(now, suspect_ms).empty());
+      CPPUNIT_ASSERT(view.detect_failures(now, suspect_ms).empty());
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1},
-                         view.judge(suspect_ms + 100, suspect_ms).size());
-    CPPUNIT_ASSERT(view.others().empty());
-    view.hear(make_peer("b", 2), suspect_ms + 200);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.others().size());
+    CPPUNIT_ASSERT_EQUAL(
+        std::size_t{1},
+        view.detect_failures(suspect_ms + 100, suspect_ms).size());
+    CPPUNIT_ASSERT(view.live_peers().empty());
+    view.apply_update(make_peer("b", 2), suspect_ms + 200);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.live_peers().size());
   }
 
   void paused_observer_gives_the_others_a_new_chance() {
     membership view(make_peer("a", 1));
-    view.hear(make_peer("b", 1), 0);
-    view.judge(100, suspect_ms);
-    CPPUNIT_ASSERT(view.judge(100 + 5 * suspect_ms, suspect_ms).empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.others().size());
+    view.apply_update(make_peer("b", 1), 0);
+    view.detect_failures(100, suspect_ms);
+    CPPUNIT_ASSERT(
+        view.detect_failures(100 + 5 * suspect_ms, suspect_ms).empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.live_peers().size());
   }
 
   void earlier_start_is_not_heard_again() {
     membership view(make_peer("a", 1));
-    view.hear(make_peer("b", 1, "2"), 0);
-    view.hear(make_peer("b", 900, "1"), 0);
+    view.apply_update(make_peer("b", 1, "2"), 0);
+    view.apply_update(make_peer("b", 900, "1"), 0);
     CPPUNIT_ASSERT_EQUAL(std::string("2"), view.find("b")->peer.start());
   }
 
@@ -65,7 +67,7 @@
     constexpr int nodes = 40;
     for (int i = 0; i < nodes; ++i) {
       membership view = view_of(i, nodes);
-      for (const std::string& each : view.watched()) {
+      for (const std::string& each : view.watched_nodes()) {
         ++watchers[each];
         CPPUNIT_ASSERT(view.watch_rank(each).has_value());
       }
@@ -88,7 +90,7 @@
     membership view = view_of(0, 30);
     std::set<std::string> told;
     for (int i = 0; i < 12; ++i) {
-      for (const wire::Peer& each : view.news(8)) {
+      for (const wire::Peer& each : view.next_updates(8)) {
         told.insert(each.node());
       }
     }
@@ -99,7 +101,7 @@
   static membership view_of(int self, int nodes) {
     membership view(make_peer("node-" + std::to_string(self), 1));
     for (int i = 0; i < nodes; ++i) {
-      view.hear(make_peer("node-" + std::to_string(i), 1), 0);
+      view.apply_update(make_peer("node-" + std::to_string(i), 1), 0);
     }
     return view;
   }
--- a/test/ownership_model_test.cc
+++ b/test/ownership_model_test.cc
@@ -10,9 +10,9 @@
 #include <set>
 
 #include "test_support.h"
-#include "trayrock/internal/decide/copy_keeper.h"
+#include "trayrock/internal/decide/copy_buffer.h"
 #include "trayrock/internal/decide/journal_writer.h"
-#include "trayrock/internal/decide/tail_step.h"
+#include "trayrock/internal/decide/tail_recovery.h"
 
 namespace trayrock::testing {
 namespace {
@@ -36,11 +36,11 @@
  public:
   world(std::uint64_t seed, left_out rule)
       : random_(seed), rule_(rule), writer_("owner", options()) {
-    keeper_ = std::make_unique<copy_keeper>("holder-1", 1U << 20);
+    keeper_ = std::make_unique<copy_buffer>("holder-1", 1U << 20);
     wire::CopyHolderNamed holder;
     holder.set_node("holder");
     holder.set_start("holder-1");
-    writer_.name_holder(holder, now_);
+    writer_.set_holder(holder, now_);
   }
 
   // Records acknowledged to callers.
@@ -72,7 +72,7 @@
         break;
       case 4:
         if (chance(4)) {
-          keeper_ = std::make_unique<copy_keeper>("holder-2", 1U << 20);
+          keeper_ = std::make_unique<copy_buffer>("holder-2", 1U << 20);
           holder_restarted_ = true;
         }
         break;
@@ -152,23 +152,23 @@
       if (chance(50)) {
         late_.emplace_back(put.number, segment);
       }
-      take(writer_.put_answered(put.number, put_outcome::uncertain, now_));
+      take(writer_.on_put_result(put.number, put_outcome::uncertain, now_));
       return;
     }
     const bool fresh = segments_.try_emplace(put.number, segment).second;
     const put_outcome seen =
         fate == 1 ? put_outcome::uncertain
                   : (fresh ? put_outcome::stored : put_outcome::exists);
-    take(writer_.put_answered(put.number, seen, now_));
+    take(writer_.on_put_result(put.number, seen, now_));
   }
 
   void carry_out_read(std::uint64_t number) {
     if (outage_) {
-      writer_.read_failed(now_);
+      writer_.on_read_failed(now_);
       return;
     }
     const auto found = segments_.find(number);
-    take(writer_.read_answered(
+    take(writer_.on_read_result(
         number,
         found == segments_.end() ? std::nullopt : std::optional(found->second),
         now_));
@@ -176,15 +176,15 @@
 
   void carry_out_copy(const wire::CopyAppend& message) {
     if (chance(20)) {
-      writer_.copy_failed(now_);
+      writer_.on_copy_failed(now_);
       return;
     }
     const wire::CopyAck ack = keeper_->append(message);
     if (ack.failure().code() != 0 || chance(10)) {
-      writer_.copy_failed(now_);
+      writer_.on_copy_failed(now_);
       return;
     }
-    take(writer_.copy_answered(ack.held_up_to()));
+    take(writer_.on_copy_ack(ack.held_up_to()));
   }
 
   void deliver_late_write() {
@@ -203,7 +203,7 @@
     if (may_die && chance(10)) {
       // Another one begins from the start.
       sealed_ = false;
-      tail_ = tail_view();
+      tail_ = tail_state();
       return;
     }
     if (!sealed_) {
@@ -230,27 +230,27 @@
     std::set<std::uint64_t> read;
     for (const auto& [number, segment] : segments_) {
       if (number < end_ && !segment.has_seal()) {
-        for (const wire::Record& each : reader.take(segment)) {
+        for (const wire::Record& each : reader.read(segment)) {
           read.insert(each.sequence());
         }
       }
     }
     tail_.holder_named = reader.holder().has_value();
-    tail_.owner_gone = owner_dead_ && chance(50);
+    tail_.owner_stopped = owner_dead_ && chance(50);
     switch (next_tail_step(tail_)) {
-      case tail_step::ask_holder:
-        ask_holder();
+      case tail_step::request_from_holder:
+        request_from_holder();
         return;
-      case tail_step::ask_owner:
-        ask_owner();
+      case tail_step::request_from_owner:
+        request_from_owner();
         return;
-      case tail_step::go_on_without:
+      case tail_step::continue_without_tail:
         loss_allowed = holder_restarted_ && owner_dead_;
         break;
-      case tail_step::nothing_needed:
+      case tail_step::no_tail:
         break;
-      case tail_step::take_tail:
-        for (const wire::Record& each : reader.take_tail(
+      case tail_step::apply_tail:
+        for (const wire::Record& each : reader.read_tail(
                  {given_.records().begin(), given_.records().end()})) {
           read.insert(each.sequence());
         }
@@ -260,14 +260,13 @@
     serving = true;
   }
 
-  void ask_holder() {
+  void request_from_holder() {
     if (chance(30)) {
       const bool wrong = rule_ == left_out::holder_first;
-      tail_.holder =
-          wrong ? tail_answer::other_start : tail_answer::unreachable;
-      tail_.owner_gone = tail_.owner_gone || wrong;
+      tail_.holder = wrong ? tail_reply::other_start : tail_reply::unreachable;
+      tail_.owner_stopped = tail_.owner_stopped || wrong;
       if (wrong) {
-        tail_.owner = tail_answer::other_start;
+        tail_.owner = tail_reply::other_start;
       }
       return;
     }
@@ -276,7 +275,7 @@
     claim.set_holder_start("holder-1");
     if (rule_ == left_out::promise) {
       // Reads the tail without the promise.
-      copy_keeper copy = *keeper_;
+      copy_buffer copy = *keeper_;
       claim.set_journal("owner");
       given_ = copy.claim(claim);
     } else {
@@ -286,28 +285,28 @@
       keeper_->release("owner");
     }
     tail_.holder =
-        given_.other_start() ? tail_answer::other_start : tail_answer::given;
+        given_.other_start() ? tail_reply::other_start : tail_reply::received;
   }
 
-  void ask_owner() {
+  void request_from_owner() {
     if (owner_dead_) {
-      tail_.owner = tail_answer::other_start;
+      tail_.owner = tail_reply::other_start;
     } else if (paused_) {
-      tail_.owner = tail_answer::unreachable;
+      tail_.owner = tail_reply::unreachable;
     } else {
       given_.Clear();
       for (const wire::Record& each : writer_.unstored()) {
         *given_.add_records() = each;
       }
       writer_.stop();
-      tail_.owner = tail_answer::given;
+      tail_.owner = tail_reply::received;
     }
   }
 
   std::mt19937_64 random_;
   left_out rule_;
   journal_writer writer_;
-  std::unique_ptr<copy_keeper> keeper_;
+  std::unique_ptr<copy_buffer> keeper_;
   segment_row segments_;
   std::vector<std::pair<std::uint64_t, wire::Segment>> late_;
   std::uint64_t now_ = 1;
@@ -318,7 +317,7 @@
   bool owner_dead_ = false;
   bool holder_restarted_ = false;
   bool sealed_ = false;
-  tail_view tail_;
+  tail_state tail_;
   wire::CopyTail given_;
 };
 
--- a/test/permit_client_test.cc
+++ b/test/permit_client_test.cc
@@ -114,7 +114,7 @@
 
   static permit_answer acquire(event_loop& loop, permit_client& permits) {
     std::optional<permit_answer> seen;
-    permits.acquire({"growers", {10, 10, 1}, permit_use::goes_on},
+    permits.acquire({"growers", {10, 10, 1}, permit_use::regular},
                     milliseconds(1500), [&](const permit_answer& said) {
                       seen = said;
                       loop.stop();
--- a/test/permit_book_test.cc
+++ b/test/permit_limiter_test.cc
@@ -1,6 +1,6 @@
 // Shares of a workspace's limit as one store gives them out, and which store a
 // gateway asks.
-#include "trayrock/internal/decide/permit_book.h"
+#include "trayrock/internal/decide/permit_limiter.h"
 
 #include "test_support.h"
 #include "trayrock/internal/decide/permit_sources.h"
@@ -20,9 +20,9 @@
 }
 
 // How many permits a book gives at one moment.
-int drain(permit_book& from, std::uint64_t now_ms,
+int drain(permit_limiter& from, std::uint64_t now_ms,
           const request_limit& limit = sixty,
-          permit_use use = permit_use::goes_on) {
+          permit_use use = permit_use::regular) {
   int count = 0;
   while (given(from.acquire("growers", limit, use, now_ms))) {
     ++count;
@@ -30,9 +30,9 @@
   return count;
 }
 
-permit_book book_of(const std::string& own,
-                    const limit_terms& terms = plain_terms) {
-  permit_book made(terms);
+permit_limiter book_of(const std::string& own,
+                       const limit_terms& terms = plain_terms) {
+  permit_limiter made(terms);
   made.begin(three, own);
   return made;
 }
@@ -63,7 +63,7 @@
   void shares_add_up_to_the_limit() {
     int sum = 0;
     for (const std::string& each : three) {
-      permit_book book = book_of(each);
+      permit_limiter book = book_of(each);
       sum += drain(book, 1000, {10, 11, 1});
     }
     CPPUNIT_ASSERT_EQUAL(61, sum);
@@ -77,10 +77,10 @@
   // Nothing that a window of the given length holds may exceed the share,
   // wherever it begins.
   void window_slides() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     std::vector<std::uint64_t> times;
     for (std::uint64_t now = 0; now < 30000; now += 7) {
-      if (given(book.acquire("growers", sixty, permit_use::goes_on, now))) {
+      if (given(book.acquire("growers", sixty, permit_use::regular, now))) {
         times.push_back(now);
       }
     }
@@ -94,30 +94,30 @@
   }
 
   void refusal_says_when_a_permit_is_there() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     drain(book, 1000);
     const permit_verdict said =
-        book.acquire("growers", sixty, permit_use::goes_on, 2000);
+        book.acquire("growers", sixty, permit_use::regular, 2000);
     const auto next =
         static_cast<std::uint64_t>(std::get<permit_refused>(said).next.count());
 
     CPPUNIT_ASSERT(!given(
-        book.acquire("growers", sixty, permit_use::goes_on, 2000 + next - 1)));
+        book.acquire("growers", sixty, permit_use::regular, 2000 + next - 1)));
     CPPUNIT_ASSERT(given(
-        book.acquire("growers", sixty, permit_use::goes_on, 2000 + next)));
+        book.acquire("growers", sixty, permit_use::regular, 2000 + next)));
   }
 
   void beginning_programs_leave_a_quarter() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     CPPUNIT_ASSERT_EQUAL(15,
                          drain(book, 1000, sixty, permit_use::starts_program));
     CPPUNIT_ASSERT_EQUAL(5, drain(book, 1000));
   }
 
   void permit_that_was_not_used_is_given_again() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     const permit_verdict first =
-        book.acquire("growers", sixty, permit_use::goes_on, 1000);
+        book.acquire("growers", sixty, permit_use::regular, 1000);
     drain(book, 1300);
     book.give_back("growers", std::get<permit_given>(first).slot);
 
@@ -125,9 +125,9 @@
   }
 
   void permit_of_an_earlier_window_is_not_taken_back() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     const permit_verdict first =
-        book.acquire("growers", sixty, permit_use::goes_on, 1000);
+        book.acquire("growers", sixty, permit_use::regular, 1000);
     drain(book, 9000);
     book.give_back("growers", std::get<permit_given>(first).slot);
 
@@ -135,23 +135,23 @@
   }
 
   void lower_limit_binds_at_once_and_an_older_one_never() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     CPPUNIT_ASSERT_EQUAL(10, drain(book, 1000, {5, 5, 2}));
     CPPUNIT_ASSERT_EQUAL(0, drain(book, 1000, {50, 50, 1}));
     CPPUNIT_ASSERT_EQUAL(10, drain(book, 1000, {10, 10, 3}));
   }
 
   void workspaces_do_not_share() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     drain(book, 1000);
     CPPUNIT_ASSERT(
-        given(book.acquire("buyers", sixty, permit_use::goes_on, 1000)));
+        given(book.acquire("buyers", sixty, permit_use::regular, 1000)));
   }
 
   void restart_gives_no_fresh_share() {
-    permit_book before = book_of("store-1");
+    permit_limiter before = book_of("store-1");
     drain(before, 4000);
-    permit_book after(plain_terms);
+    permit_limiter after(plain_terms);
     after.begin(three, "store-1");
     after.restore("growers", before.counts("growers", 4000), 100);
 
@@ -161,7 +161,7 @@
   }
 
   void store_that_joins_gives_nothing_for_a_window() {
-    permit_book book(plain_terms);
+    permit_limiter book(plain_terms);
     book.begin({}, "store-1");
     book.set_stores(three, "store-1", 1000);
 
@@ -170,7 +170,7 @@
   }
 
   void shares_grow_a_window_after_a_store_has_left() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     book.set_stores({"store-1", "store-2"}, "store-1", 1000);
 
     CPPUNIT_ASSERT_EQUAL(20, drain(book, 1000));
@@ -188,7 +188,7 @@
         std::vector<std::string> after{fresh};
         int given_in_a_window = 0;
         for (const std::string& each : three) {
-          permit_book book = book_of(each);
+          permit_limiter book = book_of(each);
           given_in_a_window += drain(book, 1000, eight);
         }
         for (const std::string& each : three) {
@@ -200,7 +200,7 @@
           if (each == gone) {
             continue;
           }
-          permit_book book = book_of(each);
+          permit_limiter book = book_of(each);
           drain(book, 1000, eight);
           book.set_stores(after, each, 1500);
           given_in_a_window += drain(book, 1600, eight);
@@ -214,7 +214,7 @@
   }
 
   void store_outside_of_the_group_gives_nothing() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     book.set_stores({"store-2", "store-3"}, "store-1", 1000);
     CPPUNIT_ASSERT_EQUAL(0, drain(book, 9000));
   }
@@ -222,7 +222,7 @@
   void smallest_limit_is_given_by_one_store() {
     int sum = 0;
     for (const std::string& each : three) {
-      permit_book book = book_of(each);
+      permit_limiter book = book_of(each);
       sum += drain(book, 1000, {0.2, 0, 1});
     }
     CPPUNIT_ASSERT_EQUAL(1, sum);
@@ -231,45 +231,45 @@
   void near_store_is_asked_first() {
     permit_sources sources = sources_of_three();
     const permit_source next =
-        sources.next("growers", permit_use::goes_on, {}, 1000);
+        sources.next("growers", permit_use::regular, {}, 1000);
     CPPUNIT_ASSERT_EQUAL(std::string("store-2"),
-                         std::get<ask_store>(next).store);
+                         std::get<try_store>(next).store);
   }
 
   void store_without_a_permit_is_passed_over_until_it_has_one() {
     permit_sources sources = sources_of_three();
     for (const std::string& each : three) {
-      sources.refused("growers", permit_use::goes_on, each,
-                      milliseconds(each == "store-3" ? 250 : 500), 1000);
+      sources.on_refusal("growers", permit_use::regular, each,
+                         milliseconds(each == "store-3" ? 250 : 500), 1000);
     }
     const permit_source none =
-        sources.next("growers", permit_use::goes_on, {}, 1000);
+        sources.next("growers", permit_use::regular, {}, 1000);
     const permit_source later =
-        sources.next("growers", permit_use::goes_on, {}, 1250);
+        sources.next("growers", permit_use::regular, {}, 1250);
     const permit_source other =
-        sources.next("buyers", permit_use::goes_on, {}, 1000);
+        sources.next("buyers", permit_use::regular, {}, 1000);
 
     CPPUNIT_ASSERT(std::get<limit_reached>(none).next == milliseconds(250));
     CPPUNIT_ASSERT_EQUAL(std::string("store-3"),
-                         std::get<ask_store>(later).store);
-    CPPUNIT_ASSERT(std::holds_alternative<ask_store>(other));
+                         std::get<try_store>(later).store);
+    CPPUNIT_ASSERT(std::holds_alternative<try_store>(other));
   }
 
   void silent_store_is_asked_last() {
     permit_sources sources = sources_of_three();
-    sources.silent("store-2", 1000);
+    sources.on_failure("store-2", 1000);
     const permit_source first =
-        sources.next("growers", permit_use::goes_on, {}, 1000);
-    const permit_source last = sources.next("growers", permit_use::goes_on,
+        sources.next("growers", permit_use::regular, {}, 1000);
+    const permit_source last = sources.next("growers", permit_use::regular,
                                             {"store-1", "store-3"}, 1000);
     const permit_source none =
-        sources.next("growers", permit_use::goes_on,
+        sources.next("growers", permit_use::regular,
                      {"store-1", "store-2", "store-3"}, 1000);
 
-    CPPUNIT_ASSERT(std::get<ask_store>(first).store != "store-2");
+    CPPUNIT_ASSERT(std::get<try_store>(first).store != "store-2");
     CPPUNIT_ASSERT_EQUAL(std::string("store-2"),
-                         std::get<ask_store>(last).store);
-    CPPUNIT_ASSERT(std::holds_alternative<no_store_answers>(none));
+                         std::get<try_store>(last).store);
+    CPPUNIT_ASSERT(std::holds_alternative<no_store_available>(none));
   }
 
  private:
--- a/test/permit_load_test.cc
+++ b/test/permit_load_test.cc
@@ -10,7 +10,8 @@
 //
 //   own_share    each gateway counts a twentieth of the limit by itself
 //   one_holder   one process counts for all; its successor knows nothing
-//   store_shares five stores give out a share each (the product's permit_book)
+//   store_shares five stores give out a share each (the product's
+//   permit_limiter)
 //
 // Worst of ten seeds, at 40 requests a second and a burst of 40:
 //   own_share     19 in 100 refused within the limit, most in a window 1.17
@@ -25,7 +26,7 @@
 #include <set>
 
 #include "test_support.h"
-#include "trayrock/internal/decide/permit_book.h"
+#include "trayrock/internal/decide/permit_limiter.h"
 #include "trayrock/internal/decide/permit_sources.h"
 
 namespace trayrock::testing {
@@ -114,8 +115,8 @@
     std::set<std::string> tried;
     for (;;) {
       const permit_source next =
-          sources_[gateway].next(workspace, permit_use::goes_on, tried, now_ms);
-      const auto* ask = std::get_if<ask_store>(&next);
+          sources_[gateway].next(workspace, permit_use::regular, tried, now_ms);
+      const auto* ask = std::get_if<try_store>(&next);
       if (ask == nullptr) {
         return false;
       }
@@ -123,12 +124,12 @@
       const auto at = static_cast<std::size_t>(
           std::find(names_.begin(), names_.end(), ask->store) - names_.begin());
       const permit_verdict said =
-          books_[at].acquire(workspace, limit, permit_use::goes_on, now_ms);
+          books_[at].acquire(workspace, limit, permit_use::regular, now_ms);
       if (std::holds_alternative<permit_given>(said)) {
         return true;
       }
-      sources_[gateway].refused(workspace, permit_use::goes_on, ask->store,
-                                std::get<permit_refused>(said).next, now_ms);
+      sources_[gateway].on_refusal(workspace, permit_use::regular, ask->store,
+                                   std::get<permit_refused>(said).next, now_ms);
     }
   }
 
@@ -137,7 +138,7 @@
   // Its successor comes with an empty disk, under another name.
   void replace_one(std::uint64_t now_ms) {
     names_[1] = "store-new";
-    books_[1] = permit_book(terms);
+    books_[1] = permit_limiter(terms);
     for (int i = 0; i < store_count; ++i) {
       books_[i].set_stores(names_, names_[i], now_ms);
     }
@@ -149,7 +150,7 @@
   // The last permits were not on the disks yet.
   void power_loss(std::uint64_t now_ms) {
     for (std::size_t i = 0; i < store_count; ++i) {
-      restart(i, now_ms, books_[i].most_unsynced(workspace));
+      restart(i, now_ms, books_[i].max_unsynced(workspace));
     }
   }
 
@@ -160,8 +161,8 @@
     return "dc-" + std::to_string(number % 3);
   }
 
-  std::vector<permit_store_place> places() const {
-    std::vector<permit_store_place> made(store_count);
+  std::vector<permit_store_location> places() const {
+    std::vector<permit_store_location> made(store_count);
     for (int i = 0; i < store_count; ++i) {
       made[i] = {names_[i], centre(i)};
     }
@@ -175,13 +176,13 @@
       each -= static_cast<std::uint32_t>(gone);
       lost -= gone;
     }
-    books_[which] = permit_book(terms);
+    books_[which] = permit_limiter(terms);
     books_[which].begin(names_, names_[which]);
     books_[which].restore(workspace, kept, now_ms);
   }
 
   std::vector<std::string> names_;
-  std::vector<permit_book> books_;
+  std::vector<permit_limiter> books_;
   std::vector<permit_sources> sources_;
 };
 
--- a/test/kept_connection.cc
+++ b/test/persistent_connection.cc
@@ -1,4 +1,4 @@
-#include "kept_connection.h"
+#include "persistent_connection.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-bool kept_connection::open() {
+bool persistent_connection::open() {
   socket_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const sockaddr_in where = loopback(port_);
   if (connect(socket_, reinterpret_cast<const sockaddr*>(&where),
@@ -55,19 +55,20 @@
   return true;
 }
 
-void kept_connection::close() {
+void persistent_connection::close() {
   if (socket_ >= 0) {
     ::close(socket_);
     socket_ = -1;
   }
 }
 
-bool kept_connection::closed_by_peer() const {
+bool persistent_connection::closed_by_peer() const {
   char byte = 0;
   return recv(socket_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-std::string kept_connection::exchange(const std::string& request, int seconds) {
+std::string persistent_connection::exchange(const std::string& request,
+                                            int seconds) {
   if (socket_ >= 0 && closed_by_peer()) {
     close();
   }
--- a/test/kept_connection.h
+++ b/test/persistent_connection.h
@@ -2,7 +2,7 @@
 // request, until the server closes it.
 //
 // Example:
-//   kept_connection to_gateway(port);
+//   persistent_connection to_gateway(port);
 //   const std::string answer = to_gateway.exchange(request, 10);
 #pragma once
 
@@ -10,12 +10,12 @@
 
 namespace trayrock::testing {
 
-class kept_connection {
+class persistent_connection {
  public:
-  explicit kept_connection(int port) : port_(port) {}
-  kept_connection(const kept_connection&) = delete;
-  kept_connection& operator=(const kept_connection&) = delete;
-  ~kept_connection() { close(); }
+  explicit persistent_connection(int port) : port_(port) {}
+  persistent_connection(const persistent_connection&) = delete;
+  persistent_connection& operator=(const persistent_connection&) = delete;
+  ~persistent_connection() { close(); }
 
   // Sends a request once and reads its answer: head and body as they came,
   // nothing more than what came before the connection or the time ended. A
--- a/test/program_book_test.cc
+++ b/test/program_table_test.cc
@@ -1,5 +1,5 @@
 // Order, history and budget of programs, as pure decisions.
-#include "trayrock/internal/decide/program_book.h"
+#include "trayrock/internal/decide/program_table.h"
 
 #include "test_support.h"
 
@@ -32,8 +32,8 @@
   return request;
 }
 
-class program_book_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(program_book_test);
+class program_table_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(program_table_test);
   CPPUNIT_TEST(calls_run_in_their_order);
   CPPUNIT_TEST(records_applied_twice_change_nothing_more);
   CPPUNIT_TEST(reservation_keeps_the_budget_while_a_call_runs);
@@ -125,9 +125,9 @@
     begin(make_request("p", 1, "one"));
     settle("p", 1, wire::RAN_YES);
     begin(make_request("p.a", 1, "two"));
-    program_book copy;
+    program_table copy;
     for (const char* id : {"p", "p.a"}) {
-      copy.apply(program_book::snapshot(*book_.find(id), 0));
+      copy.apply(program_table::snapshot(*book_.find(id), 0));
     }
     for (const char* id : {"p", "p.a"}) {
       const program_state& held = *book_.find(id);
@@ -151,8 +151,8 @@
   }
 
  private:
-  static call_terms terms() {
-    call_terms made;
+  static call_settings terms() {
+    call_settings made;
     made.service = "assistant";
     made.max_tokens = 50;
     return made;
@@ -207,10 +207,10 @@
     return refused == nullptr ? 0 : static_cast<int>(refused->failure.code());
   }
 
-  program_book book_;
+  program_table book_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(program_book_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(program_table_test);
 
 }  // namespace
 }  // namespace trayrock::testing
--- a/test/lapse_rule_test.cc
+++ b/test/record_expiry_test.cc
@@ -1,9 +1,9 @@
 // Until when endpoints are used whose records are missing, by what went before.
-#include "trayrock/internal/decide/lapse_rule.h"
+#include "trayrock/internal/decide/record_expiry.h"
 
 #include "platform/call_round.h"
 #include "test_support.h"
-#include "trayrock/internal/decide/probe_pace.h"
+#include "trayrock/internal/decide/probe_schedule.h"
 
 namespace trayrock::testing {
 namespace {
@@ -16,12 +16,12 @@
 constexpr std::uint64_t return_ms = 2000;
 
 std::uint64_t after_loss(std::uint64_t unserved_ms) {
-  return kept_until_ms(absence::listed_after_loss, {now_ms, unserved_ms},
-                       reconnect_ms);
+  return kept_until_ms(missing_cause::absent_after_outage,
+                       {now_ms, unserved_ms}, reconnect_ms);
 }
 
 std::uint64_t all_at_once(std::uint64_t unserved_ms) {
-  return kept_until_ms(absence::nearly_all_at_once, {now_ms, unserved_ms},
+  return kept_until_ms(missing_cause::mass_removal, {now_ms, unserved_ms},
                        reconnect_ms);
 }
 
@@ -42,9 +42,9 @@
   // call before its return was lost, the next one is answered. With calls 2.1 s
   // apart endpoints would be left 1.3 s too early.
   void lapsed_endpoints_are_used_until_their_records_are_back() {
-    const probe_pace pace = probe_pace_within(reconnect_ms);
-    const std::uint64_t apart = pace.repeat_ms;
-    CPPUNIT_ASSERT(pace.longest_pause_ms <= apart);
+    const probe_schedule pace = probe_schedule_within(reconnect_ms);
+    const std::uint64_t apart = pace.hedge_interval_ms;
+    CPPUNIT_ASSERT(pace.max_backoff_ms <= apart);
     for (std::uint64_t back = 0; back < apart; ++back) {
       const std::uint64_t lost = now_ms - apart;
       const std::uint64_t until = after_loss(lost);
@@ -67,19 +67,20 @@
   }
 
   void who_tells_of_it_knows_the_time() {
-    answer_times times{now_ms, 0};
-    times.told_until_ms = now_ms + 700;
+    reply_times times{now_ms, 0};
+    times.peer_keeps_until_ms = now_ms + 700;
     CPPUNIT_ASSERT_EQUAL(
         now_ms + 700,
-        kept_until_ms(absence::nearly_all_at_once, times, reconnect_ms));
+        kept_until_ms(missing_cause::mass_removal, times, reconnect_ms));
   }
 
   // One that has been cut off hears of a lapse of minutes ago.
   void late_word_of_a_lapse_is_over() {
-    answer_times times{now_ms, 0};
-    times.told_until_ms = now_ms;
+    reply_times times{now_ms, 0};
+    times.peer_keeps_until_ms = now_ms;
     CPPUNIT_ASSERT_EQUAL(
-        now_ms, kept_until_ms(absence::listed_after_loss, times, reconnect_ms));
+        now_ms,
+        kept_until_ms(missing_cause::absent_after_outage, times, reconnect_ms));
   }
 
   void round_is_settled_by_its_first_answer() {
--- a/test/relay_choice_test.cc
+++ b/test/relay_selector_test.cc
@@ -1,5 +1,5 @@
 // Which gateway passes calls on: order, failures, and the way back.
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 
 #include <set>
 
@@ -28,54 +28,55 @@
 
  public:
   void no_peer_gives_an_empty_address() {
-    const relay_choice relays("gateway-1", "north");
+    const relay_selector relays("gateway-1", "north");
     CPPUNIT_ASSERT_EQUAL(std::string(), relays.pick(start_ms));
-    CPPUNIT_ASSERT(relays.exhausted(start_ms));
+    CPPUNIT_ASSERT(relays.all_in_backoff(start_ms));
   }
 
   void own_entry_is_no_peer() {
-    relay_choice relays("gateway-1", "north");
+    relay_selector relays("gateway-1", "north");
     relays.replace({{"gateway-1", "own:1", "north"}});
     CPPUNIT_ASSERT_EQUAL(std::string(), relays.pick(start_ms));
   }
 
   void peer_of_the_same_data_centre_goes_first() {
-    const relay_choice relays = with_two_peers();
+    const relay_selector relays = with_two_peers();
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"), relays.pick(start_ms));
   }
 
   void silent_peer_is_left_alone_for_a_while() {
-    relay_choice relays = with_two_peers();
-    relays.failed("near:1", relay_failure::silent, start_ms);
+    relay_selector relays = with_two_peers();
+    relays.record_failure("near:1", relay_failure::silent, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("far:1"), relays.pick(start_ms));
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"),
                          relays.pick(start_ms + past_all_pauses_ms));
   }
 
   void peer_that_reaches_no_store_is_left_alone() {
-    relay_choice relays = with_two_peers();
-    relays.failed("near:1", relay_failure::store_unreachable, start_ms);
+    relay_selector relays = with_two_peers();
+    relays.record_failure("near:1", relay_failure::store_unreachable, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("far:1"), relays.pick(start_ms));
   }
 
   void peer_that_works_is_kept_when_one_store_is_down() {
-    relay_choice relays = with_two_peers();
-    relays.passed_on("near:1", start_ms);
-    relays.failed("near:1", relay_failure::store_unreachable, start_ms + 10);
+    relay_selector relays = with_two_peers();
+    relays.record_success("near:1", start_ms);
+    relays.record_failure("near:1", relay_failure::store_unreachable,
+                          start_ms + 10);
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"), relays.pick(start_ms + 10));
   }
 
   void peer_that_worked_goes_before_a_nearer_one() {
-    relay_choice relays = with_two_peers();
-    relays.passed_on("far:1", start_ms);
+    relay_selector relays = with_two_peers();
+    relays.record_success("far:1", start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("far:1"), relays.pick(start_ms + 10));
   }
 
   void soonest_free_peer_is_tried_when_all_have_failed() {
-    relay_choice relays = with_two_peers();
-    relays.failed("near:1", relay_failure::silent, start_ms);
-    relays.failed("far:1", relay_failure::silent, start_ms + 10);
-    CPPUNIT_ASSERT(relays.exhausted(start_ms + 20));
+    relay_selector relays = with_two_peers();
+    relays.record_failure("near:1", relay_failure::silent, start_ms);
+    relays.record_failure("far:1", relay_failure::silent, start_ms + 10);
+    CPPUNIT_ASSERT(relays.all_in_backoff(start_ms + 20));
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"), relays.pick(start_ms + 20));
   }
 
@@ -87,7 +88,7 @@
     }
     std::set<std::string> picked;
     for (const relay_peer& each : peers) {
-      relay_choice relays(each.name, "north");
+      relay_selector relays(each.name, "north");
       relays.replace(peers);
       picked.insert(relays.pick(start_ms));
     }
@@ -97,15 +98,15 @@
   }
 
   void peer_that_makes_itself_known_is_added_once() {
-    relay_choice relays = with_two_peers();
+    relay_selector relays = with_two_peers();
     relays.add({"gateway-4", "new:1", "south"});
     relays.add({"gateway-4", "new:2", "south"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, relays.peers().size());
   }
 
   void new_list_keeps_what_is_known_of_a_peer() {
-    relay_choice relays = with_two_peers();
-    relays.failed("near:1", relay_failure::silent, start_ms);
+    relay_selector relays = with_two_peers();
+    relays.record_failure("near:1", relay_failure::silent, start_ms);
     relays.replace({{"gateway-2", "near:1", "north"},
                     {"gateway-3", "far:1", "south"},
                     {"gateway-4", "new:1", "south"}});
@@ -113,8 +114,8 @@
   }
 
  private:
-  static relay_choice with_two_peers() {
-    relay_choice made("gateway-1", "north");
+  static relay_selector with_two_peers() {
+    relay_selector made("gateway-1", "north");
     made.replace(
         {{"gateway-3", "far:1", "south"}, {"gateway-2", "near:1", "north"}});
     return made;
--- a/test/request_table_test.cc
+++ b/test/request_table_test.cc
@@ -34,63 +34,63 @@
 
  public:
   void second_copy_attaches() {
-    check(table_verdict::run, make_request(1, 1));
-    check(table_verdict::attach, make_request(1, 1));
-    check(table_verdict::run, make_request(1, 2));
+    check(request_decision::run, make_request(1, 1));
+    check(request_decision::attach, make_request(1, 1));
+    check(request_decision::run, make_request(1, 2));
   }
 
   void refused_call_never_runs_later() {
-    check(table_verdict::run, make_request(1, 1));
+    check(request_decision::run, make_request(1, 1));
     table_.refuse({"p", 1, 1}, wire::Failure(), 0);
-    check(table_verdict::attach, make_request(1, 1));
+    check(request_decision::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::tombstone);
   }
 
   void attach_to_an_unseen_call_leaves_a_tombstone() {
     wire::ExecuteRequest attach = make_request(1, 1);
     attach.set_attach_only(true);
-    check(table_verdict::attach, attach);
+    check(request_decision::attach, attach);
     // The copy that was delayed on its way comes now.
-    check(table_verdict::attach, make_request(1, 1));
+    check(request_decision::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::tombstone);
   }
 
   void other_start_is_refused() {
-    check(table_verdict::refuse_start, make_request(1, 1, 1, "s0"));
+    check(request_decision::refuse_start, make_request(1, 1, 1, "s0"));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1}) == nullptr);
   }
 
   void older_owner_is_refused() {
-    check(table_verdict::run, make_request(1, 1, 5));
-    check(table_verdict::refuse_term, make_request(2, 1, 4));
+    check(request_decision::run, make_request(1, 1, 5));
+    check(request_decision::refuse_term, make_request(2, 1, 4));
   }
 
   void late_copy_of_a_past_call_is_refused() {
-    check(table_verdict::run, make_request(1, 1));
+    check(request_decision::run, make_request(1, 1));
     table_.refuse({"p", 1, 1}, wire::Failure(), 0);
-    check(table_verdict::run, make_request(2, 1));
+    check(request_decision::run, make_request(2, 1));
     // The tombstone is gone; the program's place in its order is not.
-    check(table_verdict::refuse_past, make_request(1, 1));
+    check(request_decision::refuse_stale, make_request(1, 1));
   }
 
   void ended_program_runs_nothing_more() {
-    check(table_verdict::run, make_request(1, 1));
+    check(request_decision::run, make_request(1, 1));
     table_.close_program("p", 0);
-    check(table_verdict::refuse_past, make_request(2, 1));
+    check(request_decision::refuse_stale, make_request(2, 1));
   }
 
   void unrepeatable_outcome_outlives_the_ordinary_expiry() {
-    check(table_verdict::run, make_request(1, 1));
+    check(request_decision::run, make_request(1, 1));
     table_.finish({"p", 1, 1}, wire::ExecuteDone(), 100);
     table_.expire(1000, 50);
     // Forgotten, it would be told as "not run".
-    check(table_verdict::attach, make_request(1, 1));
+    check(request_decision::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::done);
   }
 
  private:
-  void check(table_verdict expected, const wire::ExecuteRequest& request) {
-    const table_verdict seen = table_.arrive(request, 0);
+  void check(request_decision expected, const wire::ExecuteRequest& request) {
+    const request_decision seen = table_.register_request(request, 0);
     TRAYROCK_CHECK(expected == seen, "expected "
                                          << static_cast<int>(expected)
                                          << ", seen " << static_cast<int>(seen)
--- a/test/resumed_stream_test.cc
+++ b/test/resumed_stream_test.cc
@@ -1,8 +1,8 @@
 // Streams that go on at another endpoint: what their clients get.
 #include "service_deployment.h"
 #include "test_support.h"
-#include "trayrock/internal/decide/resend_rule.h"
-#include "trayrock/internal/decide/whole_events.h"
+#include "trayrock/internal/decide/complete_event_buffer.h"
+#include "trayrock/internal/decide/resend_policy.h"
 
 namespace trayrock::testing {
 namespace {
@@ -54,7 +54,7 @@
                                       "\r\n",
                                       bytes};
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-      whole_events stream;
+      complete_event_buffer stream;
       std::string got;
       for (const char each : bytes.substr(0, cut)) {
         got += stream.add(std::string_view(&each, 1));
@@ -69,7 +69,7 @@
   void next_run_joins_without_gap_or_double() {
     const std::string bytes = events("a", 1, 3);
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-      whole_events stream;
+      complete_event_buffer stream;
       std::string got = stream.add(bytes.substr(0, cut));
       stream.begin_run();
       const auto last = static_cast<int>(stream.last_id().value_or(0));
@@ -80,7 +80,7 @@
   }
 
   void run_that_repeats_an_event_is_refused() {
-    whole_events stream;
+    complete_event_buffer stream;
     stream.add(events("a", 1, 2));
     stream.begin_run();
     CPPUNIT_ASSERT_EQUAL(std::string(), stream.add(events("a", 2, 3)));
@@ -91,7 +91,7 @@
     for (const char* bytes :
          {"data: a\n\n", "id: x\ndata: a\n\n", "id: -1\ndata: a\n\n",
           "id: 99999999999999999999\ndata: a\n\n", "id:\ndata: a\n\n"}) {
-      whole_events stream;
+      complete_event_buffer stream;
       CPPUNIT_ASSERT_EQUAL(std::string(bytes), stream.add(bytes));
       CPPUNIT_ASSERT(!stream.last_id().has_value());
     }
@@ -100,7 +100,7 @@
   void only_idempotent_requests_go_on() {
     resend_view view{repetition::stream, true, 1, 2, true, true};
     CPPUNIT_ASSERT(resend_after_failure(view) == resend::resume);
-    view.answer_begun = false;
+    view.response_started = false;
     CPPUNIT_ASSERT(resend_after_failure(view) == resend::again);
     view.resumable = false;
     CPPUNIT_ASSERT(resend_after_failure(view) == resend::never);
@@ -108,10 +108,10 @@
     CPPUNIT_ASSERT(resend_after_failure(view) == resend::never);
     view.kind = repetition::repeatable;
     CPPUNIT_ASSERT(resend_after_failure(view) == resend::again);
-    CPPUNIT_ASSERT(!may_leave_late_endpoint(view));
+    CPPUNIT_ASSERT(!may_abandon_slow_endpoint(view));
     view.sends = 0;
-    CPPUNIT_ASSERT(may_leave_late_endpoint(view));
-    view.answer_begun = true;
+    CPPUNIT_ASSERT(may_abandon_slow_endpoint(view));
+    view.response_started = true;
     CPPUNIT_ASSERT(resend_after_failure(view) == resend::never);
   }
 
--- a/test/return_time_test.cc
+++ b/test/retry_after_test.cc
@@ -1,5 +1,5 @@
 // When clients that a stopping gateway turns away come back.
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 
 #include <algorithm>
 
@@ -42,14 +42,14 @@
   void client_outlasts_a_platform_that_is_out_for_six_seconds() {
     constexpr int refused_ms = 3500;
     CPPUNIT_ASSERT(tries_last_ms(milliseconds(500)) < refused_ms);
-    CPPUNIT_ASSERT(tries_last_ms(return_time_when_unproven()) > refused_ms);
+    CPPUNIT_ASSERT(tries_last_ms(retry_after_when_config_stale()) > refused_ms);
   }
 
   void limit_names_a_time_that_clients_wait() {
-    CPPUNIT_ASSERT(return_time_at_limit(milliseconds(0)) == milliseconds(100));
-    CPPUNIT_ASSERT(return_time_at_limit(milliseconds(700)) ==
+    CPPUNIT_ASSERT(retry_after_at_limit(milliseconds(0)) == milliseconds(100));
+    CPPUNIT_ASSERT(retry_after_at_limit(milliseconds(700)) ==
                    milliseconds(700));
-    CPPUNIT_ASSERT(return_time_at_limit(milliseconds(5000)) ==
+    CPPUNIT_ASSERT(retry_after_at_limit(milliseconds(5000)) ==
                    milliseconds(1500));
   }
 
@@ -65,7 +65,7 @@
   }
 
   static void expect(int ms, const drain_view& view) {
-    const milliseconds seen = return_time(view);
+    const milliseconds seen = retry_after_delay(view);
     TRAYROCK_CHECK(seen == milliseconds(ms),
                    "expected " << ms << " ms, seen " << seen.count() << " ms");
   }
--- a/test/runner_queue_test.cc
+++ b/test/runner_queue_test.cc
@@ -58,7 +58,7 @@
     runner_queue queue({1, 1}, attained_order{});
     queue.offer(make_request("a"));
     start(queue, 0);
-    queue.ended(2000);
+    queue.on_finished(2000);
     queue.offer(make_request("b"));
     start(queue, 0);
     queued_request hasty = make_request("c");
--- a/test/late_rule_test.cc
+++ b/test/slow_endpoint_detector_test.cc
@@ -1,5 +1,5 @@
 // When an endpoint that gives nothing is left, under two kinds of load.
-#include "trayrock/internal/decide/late_rule.h"
+#include "trayrock/internal/decide/slow_endpoint_detector.h"
 
 #include <random>
 
@@ -37,15 +37,15 @@
 // given up by its client after two seconds if it is not begun anew.
 outcome play(answers load, int hang_every) {
   constexpr milliseconds client_patience{2000};
-  late_rule rule;
+  slow_endpoint_detector rule;
   outcome made;
   for (int i = 1; i <= requests; ++i) {
     const bool hangs = hang_every > 0 && i % hang_every == 0;
     milliseconds wait = hangs ? client_patience : load.next();
-    const milliseconds limit = rule.late_after(objective);
+    const milliseconds limit = rule.first_byte_timeout(objective);
     const bool late = wait > limit;
-    rule.answer_began(std::min(wait, limit));
-    if (late && rule.leave()) {
+    rule.record_first_byte(std::min(wait, limit));
+    if (late && rule.acquire_resend()) {
       ++made.left;
       wait = limit + load.next();
     }
@@ -65,11 +65,11 @@
 
  public:
   void quick_service_keeps_the_objective() {
-    late_rule rule;
+    slow_endpoint_detector rule;
     for (int i = 0; i < 100; ++i) {
-      rule.answer_began(milliseconds(20 + i % 10));
+      rule.record_first_byte(milliseconds(20 + i % 10));
     }
-    CPPUNIT_ASSERT(rule.late_after(objective) == objective);
+    CPPUNIT_ASSERT(rule.first_byte_timeout(objective) == objective);
   }
 
   // Callers wait 133 ms on average without the rule (one in 20 for two
@@ -93,7 +93,8 @@
   }
 
   void nothing_is_known_at_the_start() {
-    CPPUNIT_ASSERT(late_rule().late_after(objective) == 3 * objective);
+    CPPUNIT_ASSERT(slow_endpoint_detector().first_byte_timeout(objective) ==
+                   3 * objective);
   }
 };
 
--- a/test/store_group_world.cc
+++ b/test/store_group_world.cc
@@ -232,12 +232,12 @@
     return;
   }
   const store& other = *at->life;
-  self.peers.pull_began(from.id());
+  self.peers.on_pull_started(from.id());
   records::PullReply answer;
   answer.set_store(other.state.id());
   answer.set_counts(other.state.counts());
   answer.set_epoch(other.state.group().epoch());
-  const bool same = self.peers.answered(from.id(), answer, now_ms_);
+  const bool same = self.peers.on_pull_reply(from.id(), answer, now_ms_);
   if (!same) {
     return;
   }
@@ -249,7 +249,7 @@
                      (is_voter(group, self.state.id()) && !self.state.counts());
   if (reads) {
     self.held.insert(other.held.begin(), other.held.end());
-    self.peers.read(from.id(), true);
+    self.peers.on_records_stored(from.id(), true);
   }
 }
 
@@ -270,7 +270,7 @@
     } else {
       answer.set_epoch(epoch);
     }
-    if (self.peers.fence_answered(each.id(), answer, epoch) && chance(50)) {
+    if (self.peers.on_fence_reply(each.id(), answer, epoch) && chance(50)) {
       pull(self, each);
     }
   }
@@ -281,7 +281,7 @@
 
 bool world::has_joined(const store& self) const {
   if (rule_ != left_out::last_read) {
-    return self.peers.joined(self.state);
+    return self.peers.has_joined(self.state);
   }
   const records::Group& group = self.state.group();
   std::size_t fenced = 0;
@@ -302,19 +302,20 @@
   made.retiring_boxes = retiring_;
   made.retiring_ms =
       retiring_.contains(self.self.box()) ? now_ms_ - retiring_since_ms_ : 0;
-  if (!has_open_place(made)) {
+  if (!has_vacancy(made)) {
     self.place_open_since_ms = now_ms_;
   }
-  made.place_open_ms = now_ms_ - self.place_open_since_ms;
+  made.vacancy_ms = now_ms_ - self.place_open_since_ms;
   return made;
 }
 
 void world::act(store& self, const become_learner& learning) {
-  propose(self, with_learner(self.state.group(), self.self, learning.gone));
+  propose(self,
+          with_learner(self.state.group(), self.self, learning.lost_learners));
 }
 
-void world::act(store& self, const take_place& place) {
-  propose(self, with_voter(self.state.group(), self.self, place.leaving));
+void world::act(store& self, const become_voter& place) {
+  propose(self, with_voter(self.state.group(), self.self, place.replaced));
 }
 
 void world::act(store& self, const leave_group&) {
--- a/test/store_group_world.h
+++ b/test/store_group_world.h
@@ -106,7 +106,7 @@
   membership_view view_of(store& self) const;
   void act(store&, const do_nothing&) {}
   void act(store& self, const become_learner& learning);
-  void act(store& self, const take_place& place);
+  void act(store& self, const become_voter& place);
   void act(store& self, const leave_group&);
   // The box goes with its disk, which is not a loss.
   void act(store& self, const finish_retirement&);
--- a/test/store_membership_test.cc
+++ b/test/store_membership_test.cc
@@ -63,7 +63,7 @@
     *view.group.add_learners() = view.self;
     CPPUNIT_ASSERT_EQUAL(
         std::string("a"),
-        std::get<take_place>(next_membership_action(view)).leaving);
+        std::get<become_voter>(next_membership_action(view)).replaced);
 
     view.peers["a"].id_at_address = "a";
     view.peers["c"].silent_ms = 1000;
@@ -71,7 +71,7 @@
     view.peers["c"].silent_ms = 2000;
     CPPUNIT_ASSERT_EQUAL(
         std::string("c"),
-        std::get<take_place>(next_membership_action(view)).leaving);
+        std::get<become_voter>(next_membership_action(view)).replaced);
   }
 
   void store_that_has_not_read_enough_does_not_vote() {
@@ -93,9 +93,9 @@
     CPPUNIT_ASSERT(is<become_learner>(next_membership_action(view)));
 
     *view.group.add_learners() = store_of("e", "5");
-    view.place_open_ms = 4999;
+    view.vacancy_ms = 4999;
     CPPUNIT_ASSERT(is<do_nothing>(next_membership_action(view)));
-    view.place_open_ms = 5000;
+    view.vacancy_ms = 5000;
     CPPUNIT_ASSERT(is<become_learner>(next_membership_action(view)));
   }
 
@@ -165,7 +165,7 @@
     const auto action = next_membership_action(view);
     const auto& learns = std::get<become_learner>(action);
     const records::Group next =
-        with_learner(view.group, view.self, learns.gone);
+        with_learner(view.group, view.self, learns.lost_learners);
     CPPUNIT_ASSERT(!is_learner(next, "e"));
     CPPUNIT_ASSERT(is_learner(next, "d"));
   }
@@ -202,15 +202,15 @@
       fenced.set_store(id);
       fenced.set_counts(true);
       fenced.set_epoch(group.epoch());
-      peers.fence_answered(id, fenced, group.epoch());
-      peers.pull_began(id);
-      peers.read(id, true);
+      peers.on_fence_reply(id, fenced, group.epoch());
+      peers.on_pull_started(id);
+      peers.on_records_stored(id, true);
     }
-    CPPUNIT_ASSERT(peers.joined(own));
+    CPPUNIT_ASSERT(peers.has_joined(own));
 
     group = without_voter(group, "b");
     adopt_group(own, group);
-    CPPUNIT_ASSERT(!peers.joined(own));
+    CPPUNIT_ASSERT(!peers.has_joined(own));
   }
 };
 
--- a/test/unusable_places_test.cc
+++ b/test/unusable_places_test.cc
@@ -33,13 +33,13 @@
 
 void share(endpoint_directory& endpoints, std::uint32_t allowed,
            std::uint64_t now_ms) {
-  endpoints.share_cold(
+  endpoints.update_cold_shares(
       [=](const cold_limit&, const endpoint&) { return allowed; }, now_ms);
 }
 
 endpoint_state_ptr choose(const endpoint_directory& endpoints,
                           std::uint64_t now_ms) {
-  endpoint_choice wanted;
+  endpoint_criteria wanted;
   wanted.service = "s";
   return endpoints.choose(wanted, now_ms);
 }
@@ -50,8 +50,9 @@
   int sent = 0;
   for (int i = 0; i < tries; ++i) {
     if (const endpoint_state_ptr to = choose(endpoints, now_ms)) {
-      endpoint_directory::begin(*to, now_ms);
-      endpoint_directory::end(*to, attempt_outcome::answered, 1, now_ms);
+      endpoint_directory::begin_attempt(*to, now_ms);
+      endpoint_directory::end_attempt(*to, attempt_outcome::responded, 1,
+                                      now_ms);
       ++sent;
     }
   }
@@ -79,7 +80,7 @@
     CPPUNIT_ASSERT(!endpoints.evacuate({"north"}, start_ms));
     for (int i = 0; i < 10; ++i) {
       const endpoint_state_ptr to = choose(endpoints, start_ms);
-      endpoint_directory::begin(*to, start_ms);
+      endpoint_directory::begin_attempt(*to, start_ms);
       CPPUNIT_ASSERT_EQUAL(std::string("south"), to->record.data_centre);
     }
   }
@@ -127,9 +128,10 @@
   void endpoint_that_answers_behind_a_pause_counts_as_cold() {
     endpoint_directory endpoints = directory_with({endpoint_in("north")});
     const endpoint_state_ptr at = choose(endpoints, start_ms);
-    endpoint_directory::end(*at, attempt_outcome::unreachable, 1, start_ms);
+    endpoint_directory::end_attempt(*at, attempt_outcome::unreachable, 1,
+                                    start_ms);
     const std::uint64_t later = start_ms + 2000;
-    CPPUNIT_ASSERT(at->health.on_trial(later));
+    CPPUNIT_ASSERT(at->health.is_on_probation(later));
     share(endpoints, 2, later);
     CPPUNIT_ASSERT_EQUAL(2, sent_in_a_row(endpoints, later));
     CPPUNIT_ASSERT_EQUAL(20, sent_in_a_row(endpoints, later + cold_ms));
--- a/test/urgency_test.cc
+++ b/test/urgency_test.cc
@@ -2,7 +2,7 @@
 #include "trayrock/internal/decide/urgency.h"
 
 #include "test_support.h"
-#include "trayrock/internal/decide/program_sightings.h"
+#include "trayrock/internal/decide/recent_programs.h"
 
 namespace trayrock::testing {
 namespace {
@@ -61,19 +61,19 @@
   }
 
   void program_is_known_for_a_while_after_its_last_turn() {
-    program_sightings seen;
-    CPPUNIT_ASSERT(!seen.knows("a", start_ms));
-    seen.note("a", start_ms);
-    seen.note("a", start_ms + 15000);
-    CPPUNIT_ASSERT(seen.knows("a", start_ms + 30000));
-    CPPUNIT_ASSERT(!seen.knows("a", start_ms + 60000));
-    CPPUNIT_ASSERT(!seen.knows("b", start_ms));
+    recent_programs seen;
+    CPPUNIT_ASSERT(!seen.contains("a", start_ms));
+    seen.record("a", start_ms);
+    seen.record("a", start_ms + 15000);
+    CPPUNIT_ASSERT(seen.contains("a", start_ms + 30000));
+    CPPUNIT_ASSERT(!seen.contains("a", start_ms + 60000));
+    CPPUNIT_ASSERT(!seen.contains("b", start_ms));
   }
 
   void programs_of_long_ago_are_forgotten() {
-    program_sightings seen;
+    recent_programs seen;
     for (std::uint64_t i = 0; i < 10000; ++i) {
-      seen.note("program-" + std::to_string(i), start_ms + 100 * i);
+      seen.record("program-" + std::to_string(i), start_ms + 100 * i);
     }
     TRAYROCK_CHECK(seen.size() < 300, "seen " << seen.size());
   }
--- a/test/watch_roles_test.cc
+++ b/test/watch_roles_test.cc
@@ -45,7 +45,7 @@
 }
 
 std::string asked(const watch_step& step) {
-  const auto* ask = std::get_if<ask_watcher>(&step);
+  const auto* ask = std::get_if<poll_watcher>(&step);
   return ask == nullptr ? "the platform" : ask->address;
 }
 
@@ -78,7 +78,7 @@
       for (const relay_peer& each : peers) {
         const first_watch_step step =
             roles_of(each, few_watch{})
-                .first(without(peers, each.name), true, {}, start_ms);
+                .initial_step(without(peers, each.name), true, {}, start_ms);
         readers += std::holds_alternative<watch_platform>(step) ? 1 : 0;
       }
       TRAYROCK_CHECK(readers == 2, count << " gateways: expected 2, seen "
@@ -88,14 +88,14 @@
 
   void gateway_that_is_not_listed_yet_waits_for_peers() {
     watch_roles roles("north-1", "north", few_watch{});
-    const first_watch_step step = roles.first({}, false, {}, start_ms);
+    const first_watch_step step = roles.initial_step({}, false, {}, start_ms);
     CPPUNIT_ASSERT(std::holds_alternative<wait_for_peers>(step));
   }
 
   void gateway_that_nobody_tells_reads_the_platform_after_a_while() {
     watch_roles roles("north-1", "north", few_watch{});
-    const first_watch_step step =
-        roles.first({}, false, std::chrono::milliseconds(2500), start_ms);
+    const first_watch_step step = roles.initial_step(
+        {}, false, std::chrono::milliseconds(2500), start_ms);
     CPPUNIT_ASSERT(std::holds_alternative<watch_platform>(step));
   }
 
@@ -110,7 +110,7 @@
     const auto peers = peers_in("north", 5);
     watch_roles roles("north-9", "north", all_watch{});
     CPPUNIT_ASSERT_EQUAL(std::string("the platform"),
-                         asked(roles.next(peers, start_ms)));
+                         asked(roles.next_step(peers, start_ms)));
     CPPUNIT_ASSERT_EQUAL(peers.size(), roles.watchers(peers, start_ms).size());
   }
 
@@ -120,7 +120,7 @@
     watch_roles roles = roles_of(other_than(watchers, peers), few_watch{});
     std::set<std::string> seen;
     for (int i = 0; i < 4; ++i) {
-      seen.insert(asked(roles.next(peers, start_ms)));
+      seen.insert(asked(roles.next_step(peers, start_ms)));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, seen.size());
     for (const std::string& each : watchers) {
@@ -136,7 +136,7 @@
     std::set<std::string> heirs;
     for (const relay_peer& each : peers) {
       watch_roles roles = roles_of(each, few_watch{});
-      roles.unusable(lost + ":1", start_ms);
+      roles.on_failure(lost + ":1", start_ms);
       const bool watches =
           roles.is_watcher(without(peers, each.name), start_ms + 1);
       if (watches && !watchers.contains(each.name)) {
@@ -154,12 +154,12 @@
       const auto others = without(peers, each.name);
       watch_roles roles = roles_of(each, few_watch{});
       for (int i = 0; i < 3; ++i) {
-        roles.unusable(asked(roles.next(others, start_ms)), start_ms);
+        roles.on_failure(asked(roles.next_step(others, start_ms)), start_ms);
       }
       if (!roles.is_watcher(others, start_ms)) {
         ++behind;
         CPPUNIT_ASSERT_EQUAL_MESSAGE(each.name, std::string("the platform"),
-                                     asked(roles.next(others, start_ms)));
+                                     asked(roles.next_step(others, start_ms)));
       }
     }
     CPPUNIT_ASSERT_MESSAGE(std::to_string(behind) + " behind", behind >= 3);
@@ -169,21 +169,22 @@
     const auto peers = all_data_centres();
     watch_roles roles = follower(peers);
     for (int i = 0; i < 3; ++i) {
-      roles.unusable(asked(roles.next(peers, start_ms)), start_ms);
+      roles.on_failure(asked(roles.next_step(peers, start_ms)), start_ms);
     }
-    CPPUNIT_ASSERT(asked(roles.next(peers, start_ms + 3500)) != "the platform");
+    CPPUNIT_ASSERT(asked(roles.next_step(peers, start_ms + 3500)) !=
+                   "the platform");
   }
 
   void watcher_that_was_silent_is_asked_again() {
     const auto peers = all_data_centres();
     watch_roles roles = follower(peers);
-    const std::string silent = asked(roles.next(peers, start_ms));
-    roles.unusable(silent, start_ms);
+    const std::string silent = asked(roles.next_step(peers, start_ms));
+    roles.on_failure(silent, start_ms);
     std::set<std::string> soon;
     std::set<std::string> later;
     for (int i = 0; i < 4; ++i) {
-      soon.insert(asked(roles.next(peers, start_ms + 500)));
-      later.insert(asked(roles.next(peers, start_ms + 1500)));
+      soon.insert(asked(roles.next_step(peers, start_ms + 500)));
+      later.insert(asked(roles.next_step(peers, start_ms + 1500)));
     }
     CPPUNIT_ASSERT(!soon.contains(silent));
     CPPUNIT_ASSERT(later.contains(silent));
--- a/test/watch_sharing_model_test.cc
+++ b/test/watch_sharing_model_test.cc
@@ -284,8 +284,8 @@
     if (now_ < at.step_at_ms || at.revision == 0) {
       return;
     }
-    const watch_step step = at.roles.next(at.peers, now_);
-    if (const auto* ask = std::get_if<ask_watcher>(&step)) {
+    const watch_step step = at.roles.next_step(at.peers, now_);
+    if (const auto* ask = std::get_if<poll_watcher>(&step)) {
       at.asked = std::atoi(ask->address.c_str() + 1);
       at.poll_until_ms = now_ + poll_wait_ms;
       return;
@@ -323,10 +323,10 @@
     at.poll_until_ms = 0;
     at.step_at_ms = now_ + 40;
     if (heard) {
-      at.roles.heard(by);
+      at.roles.on_reply(by);
       at.following = true;
     } else {
-      at.roles.unusable(by, now_);
+      at.roles.on_failure(by, now_);
     }
   }
 
--- a/test/workspaces_test.cc
+++ b/test/workspaces_test.cc
@@ -152,9 +152,9 @@
   void endpoint_gets_the_workspace_and_not_the_key() {
     http1_request request;
     request.headers.add("authorization", "Bearer key-1");
-    endpoint_directions directions;
+    forwarding_options directions;
     directions.workspace = "growers";
-    directions.hides_key = true;
+    directions.strips_key = true;
     const header_list sent =
         platform::endpoint_request(request, directions).headers;
 
@@ -168,7 +168,7 @@
     request.headers.add("Trayrock-Tenant", "buyers");
     request.headers.add("TRAYROCK-TENANT", "buyers");
     request.headers.add("Connection", "Trayrock-Tenant");
-    endpoint_directions directions;
+    forwarding_options directions;
     const header_list open =
         platform::endpoint_request(request, directions).headers;
     directions.workspace = "growers";
