--- a/include/trayrock/internal/decide/relay_selector.h
+++ b/include/trayrock/internal/decide/relay_selector.h
@@ -12,7 +12,7 @@
 //   relay_selector relays("gateway-1", "north");
 //   relays.replace({{"gateway-2", "127.0.0.1:7000", "north"}});
 //   const std::string via = relays.pick(now);
-//   relays.failed(via, relay_failure::silent, now);
+//   relays.failed(via, relay_failure::no_reply, now);
 #pragma once
 
 #include <cstddef>
@@ -30,7 +30,7 @@
 };
 
 enum class relay_failure {
-  silent,            // the peer did not answer
+  no_reply,          // the peer did not answer
   store_unreachable  // the peer got no answer of the store
 };
 
--- a/include/trayrock/internal/decide/slow_endpoint_detector.h
+++ b/include/trayrock/internal/decide/slow_endpoint_detector.h
@@ -34,7 +34,7 @@
 using late_limit = std::variant<compared_with_service, objective_only>;
 
 struct slow_endpoint_policy {
-  late_limit limit = compared_with_service{};
+  late_limit criterion = compared_with_service{};
   bool allows_resend = true;  // for another endpoint; false: only warns of it
 
   bool operator==(const slow_endpoint_policy&) const = default;
--- a/include/trayrock/internal/gateway/endpoint_entries.h
+++ b/include/trayrock/internal/gateway/endpoint_entry_decoder.h
@@ -4,7 +4,7 @@
 // each of its revisions.
 //
 // Example:
-//   endpoint_entries entries(metrics);
+//   endpoint_entry_decoder entries(metrics);
 //   apply(entries.of_listing(found, after_loss));
 #pragma once
 
@@ -19,9 +19,10 @@
 
 namespace trayrock {
 
-class endpoint_entries {
+class endpoint_entry_decoder {
  public:
-  explicit endpoint_entries(metrics_registry& metrics) : metrics_(metrics) {}
+  explicit endpoint_entry_decoder(metrics_registry& metrics)
+      : metrics_(metrics) {}
 
   records::EndpointChanges of_listing(const platform::object_listing& found,
                                       bool after_loss);
--- a/include/trayrock/internal/gateway/peer_news.h
+++ b/include/trayrock/internal/gateway/peer_notifier.h
@@ -11,7 +11,7 @@
 // it.
 //
 // Example:
-//   peer_news news(loop, pool, receivers, own, peer_notifier_policy());
+//   peer_notifier news(loop, pool, receivers, own, peer_notifier_policy());
 //   news.serve(rpc, {heard_of, on_endpoints_news, on_endpoints,
 //                    on_configuration, held_document, sent});
 //   news.report_failure("endpoint-1");
@@ -52,15 +52,15 @@
   std::function<void(const records::EndpointNews&)> sent;
 };
 
-class peer_news {
+class peer_notifier {
  public:
   // All that is passed in by reference outlives the object.
   // `receivers` gives the addresses of the gateways that are told.
-  peer_news(event_loop& loop, rpc_pool& pool,
-            std::function<std::vector<std::string>()> receivers,
-            platform::gateway_entry own, peer_notifier_policy policy);
-  peer_news(const peer_news&) = delete;
-  peer_news& operator=(const peer_news&) = delete;
+  peer_notifier(event_loop& loop, rpc_pool& pool,
+                std::function<std::vector<std::string>()> receivers,
+                platform::gateway_entry own, peer_notifier_policy policy);
+  peer_notifier(const peer_notifier&) = delete;
+  peer_notifier& operator=(const peer_notifier&) = delete;
 
   // Hears of news by this server, and hands out the held configuration.
   void serve(rpc_server& server, news_handlers handlers);
--- a/include/trayrock/internal/gateway/platform_view.h
+++ b/include/trayrock/internal/gateway/platform_view.h
@@ -23,10 +23,10 @@
 #include "trayrock/internal/gateway/configuration.h"
 #include "trayrock/internal/gateway/configuration_view.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
-#include "trayrock/internal/gateway/endpoint_entries.h"
+#include "trayrock/internal/gateway/endpoint_entry_decoder.h"
 #include "trayrock/internal/gateway/evacuation_view.h"
 #include "trayrock/internal/gateway/gateway_policy.h"
-#include "trayrock/internal/gateway/peer_news.h"
+#include "trayrock/internal/gateway/peer_notifier.h"
 #include "trayrock/internal/gateway/peer_relays.h"
 #include "trayrock/internal/gateway/watch_follower.h"
 #include "trayrock/internal/gateway/watch_log.h"
@@ -127,11 +127,11 @@
   peer_relays relays_;
   configuration_view configuration_;
   evacuation_view evacuations_;
-  endpoint_entries entries_;
+  endpoint_entry_decoder entries_;
   watch_log log_;
   watch_follower follower_;
   watch_server server_;
-  peer_news news_;
+  peer_notifier news_;
   std::function<void()> changed_;
   std::map<std::uint64_t, std::uint64_t> news_seen_ms_;  // when, by id
   timer sweeping_;
--- a/src/decide/slow_endpoint_detector.cc
+++ b/src/decide/slow_endpoint_detector.cc
@@ -42,7 +42,7 @@
 std::chrono::milliseconds slow_endpoint_detector::first_byte_timeout(
     milliseconds least) const {
   return std::visit([&](const auto& by) { return limit_of(by, least); },
-                    policy_.limit);
+                    policy_.criterion);
 }
 
 std::chrono::milliseconds slow_endpoint_detector::limit_of(
--- a/src/gateway/endpoint_entries.cc
+++ b/src/gateway/endpoint_entry_decoder.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/gateway/endpoint_entries.h"
+#include "trayrock/internal/gateway/endpoint_entry_decoder.h"
 
 #include <utility>
 
@@ -20,7 +20,7 @@
   return name.substr(0, most_logged_name);
 }
 
-records::EndpointChanges endpoint_entries::of_listing(
+records::EndpointChanges endpoint_entry_decoder::of_listing(
     const platform::object_listing& found, bool after_loss) {
   records::EndpointChanges said;
   said.set_whole(true);
@@ -32,7 +32,7 @@
   return said;
 }
 
-records::EndpointChanges endpoint_entries::of_changes(
+records::EndpointChanges endpoint_entry_decoder::of_changes(
     const platform::object_changes& seen, std::uint64_t after) {
   records::EndpointChanges said;
   said.set_after(after);
@@ -51,8 +51,8 @@
   return said;
 }
 
-void endpoint_entries::add(const platform::stored_object& object,
-                           records::EndpointChanges& said) {
+void endpoint_entry_decoder::add(const platform::stored_object& object,
+                                 records::EndpointChanges& said) {
   const result<endpoint> decoded = platform::decode_endpoint(object);
   if (decoded) {
     *said.add_changes()->mutable_record() = encode(decoded.value());
@@ -65,8 +65,8 @@
   note_unusable(object, decoded.error());
 }
 
-void endpoint_entries::note_unusable(const platform::stored_object& object,
-                                     std::error_code why) {
+void endpoint_entry_decoder::note_unusable(
+    const platform::stored_object& object, std::error_code why) {
   metrics_.add("endpoint_entries_unusable_total",
                {{"error", std::to_string(why.value())}});
   if (logged_.size() >= most_logged) {
--- a/src/gateway/gateway_policy.cc
+++ b/src/gateway/gateway_policy.cc
@@ -34,7 +34,7 @@
       from.endpoints.choice.unconnected_factor = 1;
       return;
     case mechanism::late_by_comparison:
-      from.late.limit = objective_only{};
+      from.late.criterion = objective_only{};
       return;
     case mechanism::late_endpoints_left:
       from.late.allows_resend = false;
--- a/src/gateway/peer_news.cc
+++ b/src/gateway/peer_notifier.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/gateway/peer_news.h"
+#include "trayrock/internal/gateway/peer_notifier.h"
 
 #include <random>
 #include <vector>
@@ -43,16 +43,17 @@
 
 }  // namespace
 
-peer_news::peer_news(event_loop& loop, rpc_pool& pool,
-                     std::function<std::vector<std::string>()> receivers,
-                     platform::gateway_entry own, peer_notifier_policy policy)
+peer_notifier::peer_notifier(
+    event_loop& loop, rpc_pool& pool,
+    std::function<std::vector<std::string>()> receivers,
+    platform::gateway_entry own, peer_notifier_policy policy)
     : loop_(loop),
       pool_(pool),
       receivers_(std::move(receivers)),
       own_(std::move(own)),
       policy_(policy) {}
 
-void peer_news::serve(rpc_server& server, news_handlers handlers) {
+void peer_notifier::serve(rpc_server& server, news_handlers handlers) {
   handlers_ = std::move(handlers);
   server.handle_typed<records::GatewayNews>(
       "News", [this](records::GatewayNews& news, const rpc_reply_ptr& reply) {
@@ -86,39 +87,39 @@
       });
 }
 
-void peer_news::report_failure(const endpoint_identity& endpoint) {
+void peer_notifier::report_failure(const endpoint_identity& endpoint) {
   if (policy_.failures && failed_endpoints_.size() < most_endpoints) {
     failed_endpoints_.insert(endpoint);
     send_soon();
   }
 }
 
-void peer_news::report_superseded(const endpoint_identity& endpoint) {
+void peer_notifier::report_superseded(const endpoint_identity& endpoint) {
   if (policy_.superseded && superseded_endpoints_.size() < most_superseded) {
     superseded_endpoints_.insert(endpoint);
     send_soon();
   }
 }
 
-void peer_news::note_endpoints(std::uint64_t revision) {
+void peer_notifier::note_endpoints(std::uint64_t revision) {
   if (policy_.revisions && revision > endpoints_revision_) {
     endpoints_revision_ = revision;
     send_soon();
   }
 }
 
-void peer_news::note_configuration(std::uint64_t version) {
+void peer_notifier::note_configuration(std::uint64_t version) {
   configuration_ = version;
   send_soon();
 }
 
-void peer_news::send_soon() {
+void peer_notifier::send_soon() {
   if (!batch_.pending()) {
     batch_ = loop_.after(batch_delay, [this] { send(); });
   }
 }
 
-records::GatewayNews peer_news::batch() {
+records::GatewayNews peer_notifier::batch() {
   records::GatewayNews news;
   news.set_gateway(own_.name);
   news.set_address(own_.address);
@@ -139,7 +140,7 @@
   return news;
 }
 
-void peer_news::send() {
+void peer_notifier::send() {
   const std::vector<std::string> peers = receivers_();
   if (peers.empty()) {
     batch_ = loop_.after(no_peers_pause, [this] { send(); });
@@ -157,7 +158,7 @@
   }
 }
 
-void peer_news::fetch_configuration(const std::string& from) {
+void peer_notifier::fetch_configuration(const std::string& from) {
   if (fetching_.running()) {
     return;
   }
--- a/src/records/permit_client.cc
+++ b/src/records/permit_client.cc
@@ -113,7 +113,7 @@
             const bool relay_answered = answer.error() == errc::wire_garbled;
             self->client.relays_.failed(
                 via, relay_answered ? relay_failure::store_unreachable
-                                    : relay_failure::silent);
+                                    : relay_failure::no_reply);
           } else {
             self->client.relays_.passed_on(via);
           }
--- a/src/records/store_calls.cc
+++ b/src/records/store_calls.cc
@@ -128,7 +128,7 @@
       reach_.contact.on_reply();
     }
     relays.failed(via, relay_answered ? relay_failure::store_unreachable
-                                      : relay_failure::silent);
+                                      : relay_failure::no_reply);
   }
   answered_(id, std::move(answer));
 }
--- a/test/unusable_places_test.cc
+++ b/test/endpoint_eligibility_test.cc
@@ -59,8 +59,8 @@
   return sent;
 }
 
-class unusable_places_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(unusable_places_test);
+class endpoint_eligibility_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(endpoint_eligibility_test);
   CPPUNIT_TEST(endpoints_of_an_emptied_data_centre_get_nothing);
   CPPUNIT_TEST(nothing_is_sent_while_all_data_centres_are_emptied);
   CPPUNIT_TEST(endpoint_that_registers_in_an_emptied_data_centre_gets_nothing);
@@ -156,7 +156,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(unusable_places_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(endpoint_eligibility_test);
 
 }  // namespace
 }  // namespace trayrock::testing
--- a/test/fault_soak_test.cc
+++ b/test/fault_soak_test.cc
@@ -206,7 +206,7 @@
           "\r\nTrayrock-Attempt-Id: " + probe.attempt + "\r\n\r\n";
       note(parse(probe.attempt,
                  any_gateway(random).exchange(bytes, answer_seconds)));
-      probe.answered = std::chrono::steady_clock::now();
+      probe.response_at = std::chrono::steady_clock::now();
       probes_.add(probe);
       std::this_thread::sleep_for(std::chrono::milliseconds(random() % 80));
     }
--- a/test/gateway_policy_test.cc
+++ b/test/gateway_policy_test.cc
@@ -125,7 +125,7 @@
   void late_is_the_objective_without_comparison() {
     const std::chrono::milliseconds objective(200);
     slow_endpoint_policy policy;
-    policy.limit = objective_only{};
+    policy.criterion = objective_only{};
     slow_endpoint_detector rule(policy);
     for (int i = 0; i < 50; ++i) {
       rule.record_first_byte(std::chrono::milliseconds(900));
--- a/test/key_probes.cc
+++ b/test/key_probes.cc
@@ -20,7 +20,7 @@
   key_probe made;
   made.attempt = "q" + std::to_string(number_++);
   made.key = random() % 3 == 0 ? random() % (newest + 1) : newest;
-  made.sent = std::chrono::steady_clock::now();
+  made.sent_at = std::chrono::steady_clock::now();
   return made;
 }
 
@@ -36,7 +36,7 @@
 
 bool key_probes::ran_too_late(const key_probe& probe) const {
   return probe.key < gone_at_.size() &&
-         probe.sent > gone_at_[probe.key] + revocation_limit;
+         probe.sent_at > gone_at_[probe.key] + revocation_limit;
 }
 
 // What was sent and answered within a window ran in it.
@@ -55,7 +55,7 @@
     }
   }
   for (std::size_t i = 0; i + most_in_a_window < ran.size(); ++i) {
-    if (ran[i + most_in_a_window].answered - ran[i].sent < window) {
+    if (ran[i + most_in_a_window].response_at - ran[i].sent_at < window) {
       found.push_back(ran[i].attempt + " begins a window beyond its limit");
     }
   }
--- a/test/key_probes.h
+++ b/test/key_probes.h
@@ -8,7 +8,7 @@
 // Example:
 //   key_probes probes;
 //   key_probe probe = probes.next(random);
-//   ... probe.sent, probe.answered ...
+//   ... probe.sent_at, probe.response_at ...
 //   probes.add(probe);
 //   probes.record_revocation();
 //   for (const std::string& fault : probes.faults(runs)) report(fault);
@@ -27,8 +27,8 @@
 struct key_probe {
   std::string attempt;
   std::size_t key = 0;  // which one, in the order of their coming
-  std::chrono::steady_clock::time_point sent;
-  std::chrono::steady_clock::time_point answered;
+  std::chrono::steady_clock::time_point sent_at;
+  std::chrono::steady_clock::time_point response_at;
 };
 
 // Safe to use from several threads.
--- a/test/relay_selector_test.cc
+++ b/test/relay_selector_test.cc
@@ -46,7 +46,7 @@
 
   void silent_peer_is_left_alone_for_a_while() {
     relay_selector relays = with_two_peers();
-    relays.record_failure("near:1", relay_failure::silent, start_ms);
+    relays.record_failure("near:1", relay_failure::no_reply, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("far:1"), relays.pick(start_ms));
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"),
                          relays.pick(start_ms + past_all_pauses_ms));
@@ -74,8 +74,8 @@
 
   void soonest_free_peer_is_tried_when_all_have_failed() {
     relay_selector relays = with_two_peers();
-    relays.record_failure("near:1", relay_failure::silent, start_ms);
-    relays.record_failure("far:1", relay_failure::silent, start_ms + 10);
+    relays.record_failure("near:1", relay_failure::no_reply, start_ms);
+    relays.record_failure("far:1", relay_failure::no_reply, start_ms + 10);
     CPPUNIT_ASSERT(relays.all_in_backoff(start_ms + 20));
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"), relays.pick(start_ms + 20));
   }
@@ -106,7 +106,7 @@
 
   void new_list_keeps_what_is_known_of_a_peer() {
     relay_selector relays = with_two_peers();
-    relays.record_failure("near:1", relay_failure::silent, start_ms);
+    relays.record_failure("near:1", relay_failure::no_reply, start_ms);
     relays.replace({{"gateway-2", "near:1", "north"},
                     {"gateway-3", "far:1", "south"},
                     {"gateway-4", "new:1", "south"}});
--- a/test/store_group_model_test.cc
+++ b/test/store_group_model_test.cc
@@ -1,10 +1,11 @@
 // The rules of the record stores' group against the real decision code, over
-// many seeded runs of a small world of stores and faults (store_group_world.h).
+// many seeded runs of a small world of stores and faults
+// (store_group_simulation.h).
 //
 // What must hold: a record that was acknowledged is never denied by a read
 // quorum, and of two acknowledged reservations one sees the other. Each rule
 // is left out in turn, to show what it is needed for.
-#include "store_group_world.h"
+#include "store_group_simulation.h"
 #include "test_support.h"
 
 namespace trayrock::testing {
--- a/test/store_group_world.cc
+++ b/test/store_group_simulation.cc
@@ -1,4 +1,4 @@
-#include "store_group_world.h"
+#include "store_group_simulation.h"
 
 #include <algorithm>
 #include <variant>
