--- a/include/trayrock/internal/decide/program_table.h
+++ b/include/trayrock/internal/decide/program_table.h
@@ -46,7 +46,9 @@
   std::uint32_t dropped_attempts = 0;
 
   std::uint64_t next_sequence() const { return turns.size() + 1; }
-  bool in_call() const { return !turns.empty() && !turns.back().settled; }
+  bool has_call_in_progress() const {
+    return !turns.empty() && !turns.back().settled;
+  }
   const turn* find_key(std::string_view idempotency_key) const;
 
   // The conversation with the program's model, answers included.
--- a/include/trayrock/internal/decide/retry_budget.h
+++ b/include/trayrock/internal/decide/retry_budget.h
@@ -24,7 +24,7 @@
   void record_call() { saved_ = std::min(reserve_, saved_ + share_); }
 
   // Spends one retry; false when there is none.
-  bool spend() {
+  bool try_spend() {
     if (saved_ < 1 || share_ == 0) {
       return false;
     }
--- a/include/trayrock/internal/decide/routing.h
+++ b/include/trayrock/internal/decide/routing.h
@@ -15,7 +15,7 @@
 namespace trayrock {
 
 // What the owner knows of one runner that may take the call.
-struct runner_view {
+struct endpoint_candidate {
   std::string endpoint;
   std::uint64_t expected_wait_ms = 0;
   std::uint64_t report_age_ms = 0;      // how old that report is
@@ -44,9 +44,8 @@
 routing_policy parse_routing_policy(std::string_view name, double cache_weight);
 
 // The index of the chosen runner; nothing when there is none.
-std::optional<std::size_t> choose_runner(const routing_policy& policy,
-                                         const routing_request& request,
-                                         std::span<const runner_view> runners,
-                                         std::mt19937_64& random);
+std::optional<std::size_t> select_endpoint(
+    const routing_policy& policy, const routing_request& request,
+    std::span<const endpoint_candidate> runners, std::mt19937_64& random);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/slow_endpoint_detector.h
+++ b/include/trayrock/internal/decide/slow_endpoint_detector.h
@@ -53,7 +53,7 @@
   milliseconds first_byte_timeout(milliseconds least) const;
 
   // Whether one more late endpoint may be left. False: wait on.
-  bool acquire_resend() { return policy_.allows_resend && budget_.spend(); }
+  bool acquire_resend() { return policy_.allows_resend && budget_.try_spend(); }
 
  private:
   milliseconds limit_of(const compared_with_service&, milliseconds least) const;
--- a/include/trayrock/internal/node/owner.h
+++ b/include/trayrock/internal/node/owner.h
@@ -93,7 +93,7 @@
   void replay(const turn& settled, const rpc_reply_ptr& reply);
   // Chooses a runner, writes the intent, sends.
   void place(const active_ptr& active);
-  std::vector<runner_view> candidates(const active_call& active) const;
+  std::vector<endpoint_candidate> candidates(const active_call& active) const;
   void send(const active_ptr& active, bool attach_only);
   void take_event(const active_ptr& active, std::string_view body);
   void stream_ended(const active_ptr& active, std::error_code code);
--- a/src/decide/program_table.cc
+++ b/src/decide/program_table.cc
@@ -159,7 +159,7 @@
   const std::uint64_t asked =
       request.sequence() == 0 ? next : request.sequence();
   if (asked < next) {
-    return asked + 1 == next && program.in_call()
+    return asked + 1 == next && program.has_call_in_progress()
                ? refused(errc::call_in_progress)
                : refused(errc::sequence_in_past,
                          "next is " + std::to_string(next));
@@ -167,7 +167,7 @@
   if (asked > next) {
     return refused(errc::sequence_in_future, "next is " + std::to_string(next));
   }
-  if (program.in_call()) {
+  if (program.has_call_in_progress()) {
     return refused(errc::call_in_progress);
   }
   if (!request.whole_history()) {
@@ -284,13 +284,14 @@
   if (program == nullptr) {
     return;
   }
-  if (intent.sequence() == program->next_sequence() && !program->in_call()) {
+  if (intent.sequence() == program->next_sequence() &&
+      !program->has_call_in_progress()) {
     program->turns.push_back({intent, {}, false});
     reserve(*program, intent, false);
     return;
   }
   // Another attempt of the same call: only where it goes changes.
-  if (program->in_call() &&
+  if (program->has_call_in_progress() &&
       program->turns.back().intent.sequence() == intent.sequence() &&
       program->turns.back().intent.attempt() < intent.attempt()) {
     wire::CallIntent& held = program->turns.back().intent;
@@ -303,7 +304,7 @@
 
 void program_table::apply_outcome(const wire::CallOutcome& outcome) {
   program_state* program = find_mutable(outcome.program());
-  if (program == nullptr || !program->in_call() ||
+  if (program == nullptr || !program->has_call_in_progress() ||
       program->turns.back().intent.sequence() != outcome.sequence()) {
     return;
   }
--- a/src/decide/routing.cc
+++ b/src/decide/routing.cc
@@ -13,7 +13,7 @@
 // weigh wasted cache alone.
 constexpr double most_cache_factor = 8;
 
-double wait_of(const runner_view& each) {
+double wait_of(const endpoint_candidate& each) {
   const bool busy = each.running + each.sent_since_report >= each.slots;
   const double unreported =
       busy ? unreported_call_ms * static_cast<double>(each.sent_since_report)
@@ -21,18 +21,20 @@
   return static_cast<double>(each.expected_wait_ms) + unreported;
 }
 
-double load_of(const runner_view& each) {
+double load_of(const endpoint_candidate& each) {
   return static_cast<double>(each.running + each.sent_since_report) /
          static_cast<double>(each.slots);
 }
 
-bool less_loaded(const runner_view& left, const runner_view& right) {
+bool less_loaded(const endpoint_candidate& left,
+                 const endpoint_candidate& right) {
   return std::pair(wait_of(left), load_of(left)) <
          std::pair(wait_of(right), load_of(right));
 }
 
-std::optional<std::size_t> find_prefix(const routing_request& request,
-                                       std::span<const runner_view> runners) {
+std::optional<std::size_t> find_prefix(
+    const routing_request& request,
+    std::span<const endpoint_candidate> runners) {
   for (std::size_t i = 0; i < runners.size(); ++i) {
     if (runners[i].endpoint == request.prefix_endpoint) {
       return i;
@@ -41,7 +43,7 @@
   return std::nullopt;
 }
 
-std::size_t least(std::span<const runner_view> runners) {
+std::size_t least(std::span<const endpoint_candidate> runners) {
   const auto found =
       std::min_element(runners.begin(), runners.end(), less_loaded);
   return static_cast<std::size_t>(found - runners.begin());
@@ -49,7 +51,7 @@
 
 struct chooser {
   const routing_request& request;
-  std::span<const runner_view> runners;
+  std::span<const endpoint_candidate> runners;
   std::mt19937_64& random;
 
   std::size_t operator()(const round_robin&) const {
@@ -66,7 +68,7 @@
     if (!held) {
       return other;
     }
-    const runner_view& holder = runners[*held];
+    const endpoint_candidate& holder = runners[*held];
     const double recompute_ms =
         ms_per_second * static_cast<double>(request.context_tokens) /
         static_cast<double>(holder.prefill_tokens_per_second);
@@ -103,10 +105,9 @@
   return balanced{cache_weight};
 }
 
-std::optional<std::size_t> choose_runner(const routing_policy& policy,
-                                         const routing_request& request,
-                                         std::span<const runner_view> runners,
-                                         std::mt19937_64& random) {
+std::optional<std::size_t> select_endpoint(
+    const routing_policy& policy, const routing_request& request,
+    std::span<const endpoint_candidate> runners, std::mt19937_64& random) {
   if (runners.empty()) {
     return std::nullopt;
   }
--- a/src/node/owner.cc
+++ b/src/node/owner.cc
@@ -142,7 +142,7 @@
   for (const std::uint32_t shard : shards) {
     for (const program_state* each :
          book_.in_shard(shard, shared_.map().shards())) {
-      if (!each->in_call() || active_.contains(each->spec.id())) {
+      if (!each->has_call_in_progress() || active_.contains(each->spec.id())) {
         continue;
       }
       auto active = std::make_shared<active_call>();
--- a/src/node/owner_call.cc
+++ b/src/node/owner_call.cc
@@ -41,11 +41,12 @@
   active->listeners.push_back(reply);
 }
 
-std::vector<runner_view> owner::candidates(const active_call& active) const {
+std::vector<endpoint_candidate> owner::candidates(
+    const active_call& active) const {
   const configuration& config = shared_.config();
   const std::uint64_t now = loop_.now_ms();
   const wire::Peer& self = shared_.members().self();
-  std::vector<runner_view> made;
+  std::vector<endpoint_candidate> made;
   for (const auto& [name, spec] : config.endpoints) {
     const bool self_node = spec.node == self.node();
     const peer_state* member = shared_.members().find(spec.node);
@@ -54,7 +55,7 @@
         (!self_node && member == nullptr)) {
       continue;
     }
-    runner_view view;
+    endpoint_candidate view;
     view.endpoint = name;
     view.slots = spec.slots;
     view.prefill_tokens_per_second = spec.prefill_tokens_per_second;
@@ -74,7 +75,7 @@
 
 void owner::place(const active_ptr& active) {
   wire::CallIntent& intent = active->intent;
-  const std::vector<runner_view> views = candidates(*active);
+  const std::vector<endpoint_candidate> views = candidates(*active);
   const program_state* program = book_.find(intent.program());
   routing_request wanted;
   wanted.number = calls_placed_++;
@@ -88,8 +89,8 @@
   }
   const policy_spec& policy = shared_.config().policy;
   const auto chosen =
-      choose_runner(parse_routing_policy(policy.routing, policy.cache_weight),
-                    wanted, views, random_);
+      select_endpoint(parse_routing_policy(policy.routing, policy.cache_weight),
+                      wanted, views, random_);
   if (!chosen) {
     give_up(active, make_failure(errc::no_runner, wire::RAN_NO,
                                  std::max(default_retry_after_ms,
@@ -312,7 +313,7 @@
   if (active->intent.attempt() - active->attempts_before >= max_attempts) {
     return false;
   }
-  if (reached_the_runner && !retries_of(active->intent.service()).spend()) {
+  if (reached_the_runner && !retries_of(active->intent.service()).try_spend()) {
     metrics_.add("retries_denied_total");
     return false;
   }
