--- a/include/trayrock/internal/decide/slow_endpoint_detector.h
+++ b/include/trayrock/internal/decide/slow_endpoint_detector.h
@@ -34,7 +34,7 @@
 using late_limit = std::variant<compared_with_service, objective_only>;
 
 struct slow_endpoint_policy {
-  late_limit limit = compared_with_service{};
+  late_limit criterion = compared_with_service{};
   bool allows_resend = true;  // for another endpoint; false: only warns of it
 
   bool operator==(const slow_endpoint_policy&) const = default;
@@ -53,7 +53,7 @@
   milliseconds first_byte_timeout(milliseconds least) const;
 
   // Whether one more late endpoint may be left. False: wait on.
-  bool acquire_resend() { return policy_.allows_resend && budget_.spend(); }
+  bool acquire_resend() { return policy_.allows_resend && budget_.try_spend(); }
 
  private:
   milliseconds limit_of(const compared_with_service&, milliseconds least) const;
