--- a/include/trayrock/internal/decide/watch_roles.h
+++ b/include/trayrock/internal/decide/watch_roles.h
@@ -1,24 +1,20 @@
-// Which gateways watch the platform for all, and whom the others ask.
+// Decides which gateways watch the platform, and which watcher the others poll.
 //
-// Each call to the platform is paid for, and with a watch in each gateway the
-// calls grow with the fleet. So two gateways of each data centre watch, and the
-// others ask these for what is new. Who watches follows from a hash of the
-// names that each gateway knows; nothing is elected. Views may differ: two that
-// watch at once cost calls, and one that finds nobody who watches asks the
-// platform itself, since a gap would leave it with an old configuration.
+// Calls to the platform cost money, so in each data centre only two gateways
+// watch it (two for redundancy) and the others poll these for changes. Watchers
+// are chosen by a hash of the gateways' names, without an election. Gateways
+// with different views of the fleet may both watch, which only costs calls; a
+// gateway that finds no watcher watches the platform itself, so that its
+// configuration never goes stale.
 //
-// Two, so that one that is lost or whose watch is forgotten by the platform
-// leaves another one, and the others ask them by turns. With two gateways or
-// fewer in each data centre, all watch.
-//
-// No I/O; the caller gives the time and the peers.
+// No I/O; the caller supplies the time and the peers.
 //
 // Example:
 //   watch_roles roles("gateway-1", "north", sharing);
 //   const watch_step step = roles.next(peers, now);
 //   if (const auto* ask = std::get_if<ask_watcher>(&step)) poll(ask->address);
-//   roles.heard(address);            // it watches, and has answered
-//   roles.unusable(address, now);    // silent, or it does not watch
+//   roles.heard(address);            // it watches and has replied
+//   roles.unusable(address, now);    // no reply, or it does not watch
 #pragma once
 
 #include <chrono>
@@ -33,20 +29,20 @@
 
 namespace trayrock {
 
-// Ask this gateway; its address is A.B.C.D:PORT.
+// Poll this gateway.
 struct ask_watcher {
-  std::string address;
+  std::string address;  // A.B.C.D:PORT
 };
-// Ask the platform: there is nobody else to ask, or others rely on it.
+// Watch the platform: other gateways rely on it, or no watcher is available.
 struct watch_platform {};
 using watch_step = std::variant<ask_watcher, watch_platform>;
 
-// What a gateway that has just started, and knows nothing, does.
+// No peer can be polled yet; only for a gateway that has just started.
 struct wait_for_peers {};
 using first_watch_step =
     std::variant<ask_watcher, watch_platform, wait_for_peers>;
 
-// Who watches: a few of each data centre, or every gateway by itself.
+// Whether a few gateways of each data centre watch, or all do.
 struct few_watch {
   bool operator==(const few_watch&) const = default;
 };
@@ -60,41 +56,40 @@
   watch_roles(std::string own_name, std::string own_data_centre,
               watch_sharing sharing);
 
-  // What to do now. Asked again before each poll.
+  // The next step; call it before each poll.
   watch_step next(std::span<const relay_peer> peers, std::uint64_t now_ms);
 
-  // The same before anything is known. `listed`: this gateway has been seen on
-  // a list of all, so that those that started with it are on it, too. Until
-  // then it does not take itself for a watcher, or all that start together
-  // would read everything from the platform; nor does it wait for long.
+  // The next step of a gateway that has no data yet. `listed`: this gateway has
+  // appeared in a complete list of the gateways, which then has those that
+  // started with it, too. Until then it doesn't count itself as a watcher, or
+  // else all gateways that start together would read everything from the
+  // platform; after a bounded wait it does so anyway.
   first_watch_step first(std::span<const relay_peer> peers, bool listed,
                          std::chrono::milliseconds since_start,
                          std::uint64_t now_ms);
 
-  // The same while the platform is asked already and has not answered: others
-  // may know what it does not tell.
+  // The peer to poll concurrently with an unfinished call to the platform,
+  // since a peer may have data that the platform does not return.
   first_watch_step beside_platform(std::span<const relay_peer> peers,
                                    std::uint64_t now_ms);
 
-  // True when this gateway is one of those that are to watch, by what it knows
-  // of the peers.
   bool is_watcher(std::span<const relay_peer> peers,
                   std::uint64_t now_ms) const;
 
-  // The addresses of the gateways that others should tell their news.
+  // The addresses of the gateways to which others should send updates.
   std::vector<std::string> watchers(std::span<const relay_peer> peers,
                                     std::uint64_t now_ms) const;
 
-  // A gateway that was asked watches, and has answered.
+  // The polled gateway watches, and has replied.
   void heard(const std::string& address);
 
-  // It gave no answer, or does not watch.
+  // The polled gateway did not reply, or does not watch.
   void unusable(const std::string& address, std::uint64_t now_ms);
 
  private:
-  struct view {
-    std::uint64_t left_alone_until_ms = 0;
-    std::uint32_t failures_in_row = 0;
+  struct peer_backoff {
+    std::uint64_t until_ms = 0;
+    std::uint32_t consecutive_failures = 0;
   };
 
   std::vector<const relay_peer*> watchers_of(std::span<const relay_peer> peers,
@@ -102,15 +97,16 @@
                                              std::uint64_t now_ms) const;
   std::vector<std::string> candidates(std::span<const relay_peer> peers,
                                       std::uint64_t now_ms) const;
-  bool left_alone(const std::string& address, std::uint64_t now_ms) const;
+  bool in_backoff(const std::string& address, std::uint64_t now_ms) const;
 
   std::string own_name_;
   std::string own_data_centre_;
   watch_sharing sharing_;
-  std::map<std::string, view> asked_;  // by address
-  std::uint32_t failures_in_row_ = 0;  // of whoever was asked
-  std::uint64_t alone_until_ms_ = 0;   // the platform is asked until then
-  std::uint64_t turn_ = 0;
+  std::map<std::string, peer_backoff> backoffs_;  // by address
+  std::uint32_t consecutive_failures_ = 0;        // of any peers
+  // This gateway watches the platform itself until then.
+  std::uint64_t platform_until_ms_ = 0;
+  std::uint64_t rotation_ = 0;
 };
 
 }  // namespace trayrock
--- a/src/decide/watch_roles.cc
+++ b/src/decide/watch_roles.cc
@@ -8,31 +8,30 @@
 namespace trayrock {
 namespace {
 
-constexpr std::size_t watchers_a_data_centre = 2;
-// Of all peers so many are told news where every gateway watches by itself, so
-// that the work of one event does not grow with the fleet.
-constexpr std::size_t most_told = 24;
-// A gateway that gave no answer, or does not watch, is left alone this long,
-// doubled with each failure in a row. A restart takes about a second.
-constexpr std::uint64_t first_pause_ms = 1000;
-constexpr std::uint64_t longest_pause_ms = 8000;
-constexpr std::uint32_t most_doublings = 3;
-// After so many in a row of whom none was of use, this gateway asks the
-// platform itself for a while: a platform that turns some boxes away does so
-// for several seconds.
-constexpr std::uint32_t failures_before_alone = 3;
-constexpr std::uint64_t alone_ms = 3000;
-// So long a gateway that has just started waits to be told by others.
-constexpr std::chrono::milliseconds first_patience{2500};
-
-std::uint64_t order_of(const std::string& name) {
+constexpr std::size_t watchers_per_data_centre = 2;
+// Where every gateway watches, updates go to at most this many peers, so that
+// the cost of one does not grow with the fleet.
+constexpr std::size_t max_notified = 24;
+// Exponential backoff from a peer that did not reply, or does not watch. A
+// restart takes about a second.
+constexpr std::uint64_t initial_backoff_ms = 1000;
+constexpr std::uint64_t max_backoff_ms = 8000;
+constexpr std::uint32_t max_doublings = 3;
+// After this many consecutive failures of any peers the gateway watches the
+// platform itself for a time.
+constexpr std::uint32_t failures_before_platform = 3;
+constexpr std::uint64_t platform_period_ms = 3000;
+// How long a gateway that has just started waits for data from its peers.
+constexpr std::chrono::milliseconds initial_peer_wait{2500};
+
+std::uint64_t name_hash(const std::string& name) {
   return XXH3_64bits(name.data(), name.size());
 }
 
 bool before(const std::string& left, const std::string& right) {
-  const std::uint64_t left_order = order_of(left);
-  const std::uint64_t right_order = order_of(right);
-  return left_order != right_order ? left_order < right_order : left < right;
+  const std::uint64_t left_hash = name_hash(left);
+  const std::uint64_t right_hash = name_hash(right);
+  return left_hash != right_hash ? left_hash < right_hash : left < right;
 }
 
 }  // namespace
@@ -43,20 +42,20 @@
       own_data_centre_(std::move(own_data_centre)),
       sharing_(sharing) {}
 
-bool watch_roles::left_alone(const std::string& address,
+bool watch_roles::in_backoff(const std::string& address,
                              std::uint64_t now_ms) const {
-  const auto held = asked_.find(address);
-  return held != asked_.end() && held->second.left_alone_until_ms > now_ms;
+  const auto found = backoffs_.find(address);
+  return found != backoffs_.end() && found->second.until_ms > now_ms;
 }
 
-// The peers of a data centre that are to watch: the first ones in the order of
-// their names' hashes that are not left alone.
+// The peers of a data centre that should watch: those with the lowest hashes of
+// their names that are not in backoff.
 std::vector<const relay_peer*> watch_roles::watchers_of(
     std::span<const relay_peer> peers, std::string_view data_centre,
     std::uint64_t now_ms) const {
   std::vector<const relay_peer*> found;
   for (const relay_peer& each : peers) {
-    if (each.data_centre == data_centre && !left_alone(each.address, now_ms)) {
+    if (each.data_centre == data_centre && !in_backoff(each.address, now_ms)) {
       found.push_back(&each);
     }
   }
@@ -64,8 +63,8 @@
             [](const relay_peer* left, const relay_peer* right) {
               return before(left->name, right->name);
             });
-  if (found.size() > watchers_a_data_centre) {
-    found.resize(watchers_a_data_centre);
+  if (found.size() > watchers_per_data_centre) {
+    found.resize(watchers_per_data_centre);
   }
   return found;
 }
@@ -76,25 +75,26 @@
     return true;
   }
   const auto near = watchers_of(peers, own_data_centre_, now_ms);
-  return near.size() < watchers_a_data_centre ||
+  return near.size() < watchers_per_data_centre ||
          before(own_name_, near.back()->name);
 }
 
-// Those of the own data centre by turns, then one of each other one.
+// The watchers of the own data centre in rotating order, then one watcher of
+// each other data centre.
 std::vector<std::string> watch_roles::candidates(
     std::span<const relay_peer> peers, std::uint64_t now_ms) const {
   std::vector<std::string> found;
   const auto near = watchers_of(peers, own_data_centre_, now_ms);
   for (std::size_t i = 0; i < near.size(); ++i) {
-    found.push_back(near[(i + turn_) % near.size()]->address);
+    found.push_back(near[(i + rotation_) % near.size()]->address);
   }
-  std::set<std::string_view> others;
+  std::set<std::string_view> other_data_centres;
   for (const relay_peer& each : peers) {
     if (each.data_centre != own_data_centre_) {
-      others.insert(each.data_centre);
+      other_data_centres.insert(each.data_centre);
     }
   }
-  for (const std::string_view each : others) {
+  for (const std::string_view each : other_data_centres) {
     const auto far = watchers_of(peers, each, now_ms);
     if (!far.empty()) {
       found.push_back(far.front()->address);
@@ -107,9 +107,10 @@
                                     bool listed,
                                     std::chrono::milliseconds since_start,
                                     std::uint64_t now_ms) {
-  const bool alone = std::holds_alternative<all_watch>(sharing_) ||
-                     alone_until_ms_ > now_ms || since_start >= first_patience;
-  if (alone || (listed && is_watcher(peers, now_ms))) {
+  const bool without_peers = std::holds_alternative<all_watch>(sharing_) ||
+                             platform_until_ms_ > now_ms ||
+                             since_start >= initial_peer_wait;
+  if (without_peers || (listed && is_watcher(peers, now_ms))) {
     return watch_platform{};
   }
   return beside_platform(peers, now_ms);
@@ -117,7 +118,7 @@
 
 first_watch_step watch_roles::beside_platform(std::span<const relay_peer> peers,
                                               std::uint64_t now_ms) {
-  ++turn_;
+  ++rotation_;
   const std::vector<std::string> found = candidates(peers, now_ms);
   if (found.empty()) {
     return wait_for_peers{};
@@ -128,13 +129,13 @@
 watch_step watch_roles::next(std::span<const relay_peer> peers,
                              std::uint64_t now_ms) {
   if (is_watcher(peers, now_ms)) {
-    failures_in_row_ = 0;
+    consecutive_failures_ = 0;
     return watch_platform{};
   }
-  if (alone_until_ms_ > now_ms) {
+  if (platform_until_ms_ > now_ms) {
     return watch_platform{};
   }
-  ++turn_;
+  ++rotation_;
   const std::vector<std::string> found = candidates(peers, now_ms);
   if (found.empty()) {
     return watch_platform{};
@@ -147,7 +148,7 @@
   std::vector<std::string> found;
   if (std::holds_alternative<all_watch>(sharing_)) {
     for (const relay_peer& each : peers) {
-      if (found.size() < most_told) {
+      if (found.size() < max_notified) {
         found.push_back(each.address);
       }
     }
@@ -166,22 +167,22 @@
 }
 
 void watch_roles::heard(const std::string& address) {
-  asked_.erase(address);
-  failures_in_row_ = 0;
-  alone_until_ms_ = 0;
+  backoffs_.erase(address);
+  consecutive_failures_ = 0;
+  platform_until_ms_ = 0;
 }
 
 void watch_roles::unusable(const std::string& address, std::uint64_t now_ms) {
-  view& held = asked_[address];
+  peer_backoff& backoff = backoffs_[address];
   const std::uint32_t doublings =
-      std::min(held.failures_in_row, most_doublings);
-  ++held.failures_in_row;
-  held.left_alone_until_ms =
-      now_ms + std::min(first_pause_ms << doublings, longest_pause_ms);
-  ++failures_in_row_;
-  if (failures_in_row_ >= failures_before_alone) {
-    failures_in_row_ = 0;
-    alone_until_ms_ = now_ms + alone_ms;
+      std::min(backoff.consecutive_failures, max_doublings);
+  ++backoff.consecutive_failures;
+  backoff.until_ms =
+      now_ms + std::min(initial_backoff_ms << doublings, max_backoff_ms);
+  ++consecutive_failures_;
+  if (consecutive_failures_ >= failures_before_platform) {
+    consecutive_failures_ = 0;
+    platform_until_ms_ = now_ms + platform_period_ms;
   }
 }
 
