--- a/src/decide/permit_book.cc
+++ b/src/decide/permit_book.cc
@@ -11,17 +11,19 @@
 
 using std::chrono::milliseconds;
 
-// The part of the operator's tolerance that is given out.
-constexpr double given_tolerance = 0.5;
-// The part of a share that requests which begin a program leave alone: a
-// program that cannot go on is lost with all that was spent on it.
-constexpr double kept_for_programs = 0.25;
-// The part of a share that may be given out ahead of the disk, and one permit
-// more. With a tenth of the limit and 20 requests as tolerance, half of which
-// is kept, a loss of power on five stores takes less than half of what is kept.
+// The share of the operator's tolerance that is issued.
+constexpr double issued_tolerance_share = 0.5;
+// The share of each store's permits that requests which start a program can't
+// use, since a program under way that is refused one loses all work done so
+// far.
+constexpr double program_reserve_share = 0.25;
+// The share of each store's permits that may be issued before they are on disk,
+// and one permit more. With a tolerance of a tenth of the limit and 20
+// requests, a power failure on five stores loses less than half of what is not
+// issued.
 constexpr double unsynced_share = 0.01;
-// Far above what operators configure; others that ask for more are refused.
-constexpr std::size_t most_workspaces = 65536;
+// Bounds the memory; permits of further workspaces are refused.
+constexpr std::size_t max_workspaces = 65536;
 
 }  // namespace
 
@@ -32,11 +34,10 @@
       std::chrono::duration_cast<seconds>(terms.window).count();
   const double limit = of.per_second * window + of.burst;
   const double beyond = limit * terms.overshoot + terms.tolerance;
-  return static_cast<std::uint64_t>(limit + beyond * given_tolerance);
+  return static_cast<std::uint64_t>(limit + beyond * issued_tolerance_share);
 }
 
-// ---- One workspace
-// -----------------------------------------------------------
+// ---- One workspace ---------------------------------------------------------
 
 void permit_window::advance(std::uint64_t slot) {
   if (slot <= newest_) {
@@ -60,7 +61,7 @@
   counts_[newest_ % counts_.size()] += permits;
 }
 
-void permit_window::take_back(std::uint64_t slot) {
+void permit_window::remove(std::uint64_t slot) {
   const bool counted = slot <= newest_ && newest_ - slot < counts_.size();
   if (counted && counts_[slot % counts_.size()] > 0) {
     --counts_[slot % counts_.size()];
@@ -69,11 +70,11 @@
 
 std::uint64_t permit_window::slots_until_below(std::uint64_t slot,
                                                std::uint64_t share) {
-  std::uint64_t left = count(slot);
+  std::uint64_t remaining = count(slot);
   std::uint64_t passed = 0;
-  while (left >= share && passed < counts_.size()) {
+  while (remaining >= share && passed < counts_.size()) {
     ++passed;
-    left -= counts_[(newest_ + passed) % counts_.size()];
+    remaining -= counts_[(newest_ + passed) % counts_.size()];
   }
   return passed;
 }
@@ -90,8 +91,7 @@
   return made;
 }
 
-// ---- All
-// ---------------------------------------------------------------------
+// ---- All workspaces --------------------------------------------------------
 
 std::uint64_t permit_book::slot_ms() const {
   return std::max<std::uint64_t>(
@@ -99,12 +99,12 @@
       1);
 }
 
-// The first slots of the clock are left free for what was given before it.
+// The first slots of the clock are reserved for permits issued before it began.
 std::uint64_t permit_book::slot_of(std::uint64_t now_ms) const {
   return now_ms / slot_ms() + permit_window::slots + 1;
 }
 
-// A window and the slot in which it begins.
+// The end of a window and of the slot in which it begins.
 std::uint64_t permit_book::window_end_ms(std::uint64_t now_ms) const {
   return now_ms + static_cast<std::uint64_t>(terms_.window.count()) + slot_ms();
 }
@@ -112,18 +112,19 @@
 void permit_book::begin(std::vector<std::string> stores,
                         const std::string& own) {
   std::sort(stores.begin(), stores.end());
-  const auto at = std::find(stores.begin(), stores.end(), own);
-  division_ = at == stores.end()
-                  ? division()
-                  : division{stores.size(),
-                             static_cast<std::size_t>(at - stores.begin())};
+  const auto found = std::find(stores.begin(), stores.end(), own);
+  split_ = found == stores.end()
+               ? store_split()
+               : store_split{stores.size(),
+                             static_cast<std::size_t>(found - stores.begin())};
 }
 
 void permit_book::restore(std::string_view workspace,
                           std::vector<std::uint32_t> counts,
                           std::uint64_t now_ms) {
-  permit_window& window = held_[std::string(workspace)].window;
-  window = permit_window();  // a log may show what has been replaced since
+  permit_window& window = workspaces_[std::string(workspace)].window;
+  // A log may hold several versions of a workspace; the last one counts.
+  window = permit_window();
   const std::uint64_t now = slot_of(now_ms);
   counts.resize(std::min<std::size_t>(counts.size(), permit_window::slots + 1));
   for (std::size_t i = counts.size(); i > 0; --i) {
@@ -133,36 +134,37 @@
 
 void permit_book::set_stores(std::vector<std::string> stores,
                              const std::string& own, std::uint64_t now_ms) {
-  std::erase_if(former_, [now_ms](const former_division& each) {
+  std::erase_if(former_, [now_ms](const former_split& each) {
     return each.until_ms <= now_ms;
   });
-  if (division_.stores == 0) {
-    // The store whose place it takes may have given its whole share.
+  if (split_.stores == 0) {
+    // The store that this one replaces may have issued its whole share.
     closed_until_ms_ = window_end_ms(now_ms);
   } else {
-    former_.push_back({division_, window_end_ms(now_ms)});
+    former_.push_back({split_, window_end_ms(now_ms)});
   }
   begin(std::move(stores), own);
 }
 
-// Whole permits; those that are left over go to stores in an order of each
-// workspace's own.
-std::uint64_t permit_book::part_of(std::uint64_t all,
-                                   std::string_view workspace,
-                                   const division& by) {
-  const std::uint64_t turned =
-      (by.place + XXH3_64bits(workspace.data(), workspace.size())) % by.stores;
-  return all / by.stores + (turned < all % by.stores ? 1 : 0);
+// Permits that the stores do not divide evenly go to stores in an order that
+// depends on the workspace.
+std::uint64_t permit_book::share_in(std::uint64_t limit,
+                                    std::string_view workspace,
+                                    const store_split& split) {
+  const std::uint64_t position =
+      (split.index + XXH3_64bits(workspace.data(), workspace.size())) %
+      split.stores;
+  return limit / split.stores + (position < limit % split.stores ? 1 : 0);
 }
 
 std::uint64_t permit_book::share_of(std::string_view workspace,
                                     const request_limit& limit,
                                     std::uint64_t now_ms) const {
   const std::uint64_t all = requests_in_window(limit, terms_);
-  std::uint64_t share = part_of(all, workspace, division_);
-  for (const former_division& each : former_) {
+  std::uint64_t share = share_in(all, workspace, split_);
+  for (const former_split& each : former_) {
     if (each.until_ms > now_ms) {
-      share = std::min(share, part_of(all, workspace, each.held));
+      share = std::min(share, share_in(all, workspace, each.split));
     }
   }
   return share;
@@ -171,29 +173,30 @@
 permit_verdict permit_book::acquire(std::string_view workspace,
                                     const request_limit& limit, permit_use use,
                                     std::uint64_t now_ms) {
-  if (division_.stores == 0 || now_ms < closed_until_ms_) {
-    const std::uint64_t left =
+  if (split_.stores == 0 || now_ms < closed_until_ms_) {
+    const std::uint64_t wait_ms =
         now_ms < closed_until_ms_ ? closed_until_ms_ - now_ms : slot_ms();
-    return permit_refused{milliseconds(left)};
+    return permit_refused{milliseconds(wait_ms)};
   }
-  const auto known = held_.find(workspace);
-  if (known == held_.end() && held_.size() >= most_workspaces) {
+  const auto found = workspaces_.find(workspace);
+  if (found == workspaces_.end() && workspaces_.size() >= max_workspaces) {
     return permit_refused{terms_.window};
   }
-  entry& held =
-      known != held_.end() ? known->second : held_[std::string(workspace)];
-  if (limit.configuration >= held.limit.configuration) {
-    held.limit = limit;
-  }
-  const std::uint64_t share = share_of(workspace, held.limit, now_ms);
-  const auto kept = static_cast<std::uint64_t>(static_cast<double>(share) *
-                                               kept_for_programs);
-  const std::uint64_t most =
-      use == permit_use::starts_program ? share - kept : share;
+  entry& usage = found != workspaces_.end()
+                     ? found->second
+                     : workspaces_[std::string(workspace)];
+  if (limit.configuration >= usage.limit.configuration) {
+    usage.limit = limit;
+  }
+  const std::uint64_t share = share_of(workspace, usage.limit, now_ms);
+  const auto reserved = static_cast<std::uint64_t>(static_cast<double>(share) *
+                                                   program_reserve_share);
+  const std::uint64_t available =
+      use == permit_use::starts_program ? share - reserved : share;
   const std::uint64_t slot = slot_of(now_ms);
-  const std::uint64_t wait = held.window.slots_until_below(slot, most);
+  const std::uint64_t wait = usage.window.slots_until_below(slot, available);
   if (wait == 0) {
-    held.window.add(slot, 1);
+    usage.window.add(slot, 1);
     return permit_given{slot};
   }
   const std::uint64_t next_ms = wait * slot_ms() - now_ms % slot_ms();
@@ -201,40 +204,41 @@
 }
 
 void permit_book::give_back(std::string_view workspace, std::uint64_t slot) {
-  const auto held = held_.find(workspace);
-  if (held != held_.end()) {
-    held->second.window.take_back(slot);
+  const auto found = workspaces_.find(workspace);
+  if (found != workspaces_.end()) {
+    found->second.window.remove(slot);
   }
 }
 
 std::vector<std::uint32_t> permit_book::counts(std::string_view workspace,
                                                std::uint64_t now_ms) {
-  const auto held = held_.find(workspace);
-  return held == held_.end() ? std::vector<std::uint32_t>()
-                             : held->second.window.counts(slot_of(now_ms));
+  const auto found = workspaces_.find(workspace);
+  return found == workspaces_.end()
+             ? std::vector<std::uint32_t>()
+             : found->second.window.counts(slot_of(now_ms));
 }
 
 std::uint64_t permit_book::most_unsynced(std::string_view workspace) const {
-  const auto held = held_.find(workspace);
-  if (held == held_.end() || division_.stores == 0) {
+  const auto found = workspaces_.find(workspace);
+  if (found == workspaces_.end() || split_.stores == 0) {
     return 1;
   }
   const double share =
-      static_cast<double>(requests_in_window(held->second.limit, terms_)) /
-      static_cast<double>(division_.stores);
+      static_cast<double>(requests_in_window(found->second.limit, terms_)) /
+      static_cast<double>(split_.stores);
   return 1 + static_cast<std::uint64_t>(share * unsynced_share);
 }
 
 std::vector<std::string> permit_book::drop_unused(std::uint64_t now_ms) {
   std::vector<std::string> dropped;
   const std::uint64_t now = slot_of(now_ms);
-  for (auto each = held_.begin(); each != held_.end();) {
+  for (auto each = workspaces_.begin(); each != workspaces_.end();) {
     if (each->second.window.count(now) > 0) {
       ++each;
       continue;
     }
     dropped.push_back(each->first);
-    each = held_.erase(each);
+    each = workspaces_.erase(each);
   }
   return dropped;
 }
