--- a/include/trayrock/internal/decide/permit_sources.h
+++ b/include/trayrock/internal/decide/permit_sources.h
@@ -1,18 +1,17 @@
-// Which record store a gateway asks for a permit of a workspace.
+// Selects the record store from which a gateway requests a permit.
 //
-// Each store gives out a share of the workspace's limit (decide/permit_book.h).
-// Near ones are asked first; one whose share is used up says when it may have
-// another permit, and is passed over until then. When all say so, the request
-// is refused without a call: of a workspace at six times its limit five
-// requests of six are.
+// Each store issues a share of the workspace's limit (decide/permit_book.h).
+// Stores of the same data centre come first. A store whose share is used up
+// replies when it may have another permit, and is skipped until then. While all
+// shares are used up, requests are rejected without a call to any store.
 //
-// No I/O; the caller gives the time.
+// No I/O; the caller supplies the time.
 //
 // Example:
-//   permit_sources sources("north");
-//   sources.set_stores(group.voters());
-//   const permit_source next = sources.next("growers", tried, now);
-//   if (const auto* ask = std::get_if<ask_store>(&next)) ask_for(ask->store);
+//   permit_sources sources("north", seed);
+//   sources.set_stores(stores);
+//   const permit_source next = sources.next("growers", use, tried, now);
+//   if (const auto* ask = std::get_if<ask_store>(&next)) request(ask->store);
 //   sources.refused("growers", use, "store-1", milliseconds(250), now);
 #pragma once
 
@@ -38,46 +37,47 @@
 struct ask_store {
   std::string store;
 };
-// Every share is used up.
+// No share is left at the stores that replied.
 struct limit_reached {
-  std::chrono::milliseconds next{0};  // until a permit may be there
+  std::chrono::milliseconds next{0};  // until a permit may be available
 };
-// Those that are left do not answer.
+// All stores have been tried without a reply.
 struct no_store_answers {};
 using permit_source = std::variant<ask_store, limit_reached, no_store_answers>;
 
 class permit_sources {
  public:
-  // `seed` gives each gateway an order of its own among equally near stores.
+  // `seed` differs between gateways, so that they try the stores of a data
+  // centre in different orders.
   permit_sources(std::string data_centre, std::uint64_t seed);
 
   void set_stores(std::vector<permit_store_place> stores);
 
-  // The next store to ask for this request; `tried` are those it has asked.
+  // The next store to try for a request; `tried` are those it has tried.
   permit_source next(std::string_view workspace, permit_use use,
                      const std::set<std::string>& tried, std::uint64_t now_ms);
 
-  // A store has no permit of the workspace for such a request.
+  // The store has no permit for such a request of the workspace.
   void refused(std::string_view workspace, permit_use use,
                const std::string& store, std::chrono::milliseconds next,
                std::uint64_t now_ms);
 
-  // A store gave no answer.
+  // The store did not reply.
   void silent(const std::string& store, std::uint64_t now_ms);
   void answered(const std::string& store);
 
  private:
   using refusal_key = std::pair<std::string, permit_use>;
 
-  void forget_old(std::uint64_t now_ms);
+  void remove_expired(std::uint64_t now_ms);
 
   std::string data_centre_;
   std::uint64_t seed_;
-  std::vector<permit_store_place> stores_;  // in the order of asking
+  std::vector<permit_store_place> stores_;  // in the order of trial
   // Until when a store has no permit, by workspace and use, then by store.
-  std::map<refusal_key, std::map<std::string, std::uint64_t>> empty_until_ms_;
-  std::map<std::string, std::uint64_t> silent_until_ms_;
-  std::uint64_t forgotten_at_ms_ = 0;
+  std::map<refusal_key, std::map<std::string, std::uint64_t>> refused_until_ms_;
+  std::map<std::string, std::uint64_t> backoff_until_ms_;
+  std::uint64_t expiry_checked_ms_ = 0;
 };
 
 }  // namespace trayrock
--- a/src/decide/permit_sources.cc
+++ b/src/decide/permit_sources.cc
@@ -9,11 +9,11 @@
 
 using std::chrono::milliseconds;
 
-// A store that gave no answer is asked last for this long: a restart takes
-// about a second.
-constexpr std::uint64_t silence_ms = 1000;
-// How often refusals that are over are dropped.
-constexpr std::uint64_t forgetting_ms = 5000;
+// A store that did not reply is tried last for this long; a restart takes about
+// a second.
+constexpr std::uint64_t backoff_ms = 1000;
+// How often expired refusals are removed.
+constexpr std::uint64_t expiry_period_ms = 5000;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
     : data_centre_(std::move(data_centre)), seed_(seed) {}
 
 void permit_sources::set_stores(std::vector<permit_store_place> stores) {
-  const auto place = [this](const permit_store_place& of) {
+  const auto rank = [this](const permit_store_place& of) {
     return std::pair(
         of.data_centre != data_centre_,
         XXH3_64bits_withSeed(of.store.data(), of.store.size(), seed_));
@@ -29,7 +29,7 @@
   std::sort(
       stores.begin(), stores.end(),
       [&](const permit_store_place& left, const permit_store_place& right) {
-        return place(left) < place(right);
+        return rank(left) < rank(right);
       });
   stores_ = std::move(stores);
 }
@@ -37,34 +37,34 @@
 permit_source permit_sources::next(std::string_view workspace, permit_use use,
                                    const std::set<std::string>& tried,
                                    std::uint64_t now_ms) {
-  const auto empty = empty_until_ms_.find({std::string(workspace), use});
-  std::uint64_t soonest = 0;
-  std::string silent;
+  const auto refusals = refused_until_ms_.find({std::string(workspace), use});
+  std::uint64_t earliest_ms = 0;
+  std::string unresponsive;
   for (const permit_store_place& each : stores_) {
-    if (empty != empty_until_ms_.end()) {
-      const auto until = empty->second.find(each.store);
-      if (until != empty->second.end() && until->second > now_ms) {
-        soonest =
-            soonest == 0 ? until->second : std::min(soonest, until->second);
+    if (refusals != refused_until_ms_.end()) {
+      const auto until = refusals->second.find(each.store);
+      if (until != refusals->second.end() && until->second > now_ms) {
+        earliest_ms = earliest_ms == 0 ? until->second
+                                       : std::min(earliest_ms, until->second);
         continue;
       }
     }
     if (tried.contains(each.store)) {
       continue;
     }
-    const auto quiet = silent_until_ms_.find(each.store);
-    if (quiet == silent_until_ms_.end() || quiet->second <= now_ms) {
+    const auto backoff = backoff_until_ms_.find(each.store);
+    if (backoff == backoff_until_ms_.end() || backoff->second <= now_ms) {
       return ask_store{each.store};
     }
-    if (silent.empty()) {
-      silent = each.store;
+    if (unresponsive.empty()) {
+      unresponsive = each.store;
     }
   }
-  if (!silent.empty()) {
-    return ask_store{silent};
+  if (!unresponsive.empty()) {
+    return ask_store{unresponsive};
   }
-  if (soonest != 0) {
-    return limit_reached{milliseconds(soonest - now_ms)};
+  if (earliest_ms != 0) {
+    return limit_reached{milliseconds(earliest_ms - now_ms)};
   }
   return no_store_answers{};
 }
@@ -72,27 +72,27 @@
 void permit_sources::refused(std::string_view workspace, permit_use use,
                              const std::string& store, milliseconds next,
                              std::uint64_t now_ms) {
-  forget_old(now_ms);
-  empty_until_ms_[{std::string(workspace), use}][store] =
+  remove_expired(now_ms);
+  refused_until_ms_[{std::string(workspace), use}][store] =
       now_ms + static_cast<std::uint64_t>(next.count());
 }
 
 void permit_sources::silent(const std::string& store, std::uint64_t now_ms) {
-  silent_until_ms_[store] = now_ms + silence_ms;
+  backoff_until_ms_[store] = now_ms + backoff_ms;
 }
 
 void permit_sources::answered(const std::string& store) {
-  silent_until_ms_.erase(store);
+  backoff_until_ms_.erase(store);
 }
 
-void permit_sources::forget_old(std::uint64_t now_ms) {
-  if (now_ms - forgotten_at_ms_ < forgetting_ms) {
+void permit_sources::remove_expired(std::uint64_t now_ms) {
+  if (now_ms - expiry_checked_ms_ < expiry_period_ms) {
     return;
   }
-  forgotten_at_ms_ = now_ms;
-  std::erase_if(empty_until_ms_, [now_ms](const auto& held) {
+  expiry_checked_ms_ = now_ms;
+  std::erase_if(refused_until_ms_, [now_ms](const auto& refusals) {
     return std::all_of(
-        held.second.begin(), held.second.end(),
+        refusals.second.begin(), refusals.second.end(),
         [now_ms](const auto& each) { return each.second <= now_ms; });
   });
 }
