--- a/include/trayrock/internal/decide/configuration_proof.h
+++ b/include/trayrock/internal/decide/configuration_proof.h
@@ -1,29 +1,27 @@
-// How long ago the held configuration was certainly the newest one.
+// Tracks when this gateway's configuration was last confirmed to be current.
 //
-// An operator who takes a key away has to know by when no gateway serves it any
-// more, also those that are cut off, were frozen, or missed the change. So a
-// gateway serves what needs a key only while it can prove that its
-// configuration was in force a short time ago.
+// An operator who revokes a key must know by when every gateway rejects it,
+// including gateways that are partitioned, were paused or missed the change. So
+// a gateway serves requests that require a key only while its last proof is
+// recent.
 //
-// A proof is a moment at which the platform held no later configuration than
-// this gateway does. What is sure is the moment at which a call was *sent* that
-// the platform answered: the answer may have been made at any time since, and
-// may have been held up on its way. A gateway that is told of another one's
-// proof counts its age from the moment at which it asked. A proof stays one
-// when a later configuration is taken.
+// A proof is a time at which the platform had no later configuration than this
+// gateway. It is the time at which the call was *sent*, since the response may
+// have been made at any time after that, and may have been delayed. The age of
+// a peer's proof counts from the time at which the peer was polled. A proof
+// stays valid when a later configuration is adopted.
 //
-// If a key is taken away at the moment T, every proof of a configuration that
-// still has it is from before T. A request that has been read no later than
-// `limit` after the proof was sent no later than `limit` after T. What the
-// request waits for afterwards changes nothing of that, so that one look, when
-// it has been read, is enough.
+// If a key is revoked at time T, every proof of a configuration with this key
+// precedes T. So a request that has been read within `limit` of the proof was
+// sent within `limit` of T. Time that the request spends waiting afterwards
+// does not matter; one check, once it has been read, is enough.
 //
-// No I/O; times are of the steady clock.
+// No I/O; times are of a steady clock.
 //
 // Example:
 //   configuration_proof proof(milliseconds(5000));
-//   proof.shown(asked_at_ms);                 // the platform has answered
-//   if (!proof.holds(now_ms)) refuse();
+//   proof.shown(sent_ms);  // on a response of the platform
+//   if (!proof.holds(now_ms)) reject();
 #pragma once
 
 #include <chrono>
@@ -34,38 +32,39 @@
 
 class configuration_proof {
  public:
-  // For how long a key may be in use behind its end. Nothing: there is no
-  // bound, and every proof holds.
+  // How long a key may be in use after its revocation. No limit: requests are
+  // served without a proof.
   explicit configuration_proof(std::optional<std::chrono::milliseconds> limit)
       : limit_(limit) {}
 
-  // The platform has answered a call that was sent then with this configuration
-  // or an earlier one.
+  // The platform responded to a call that was sent at this time with the
+  // current configuration or an earlier one.
   void shown(std::uint64_t sent_ms);
 
-  // A gateway that was asked then, and holds no later configuration, has told
-  // the age of its proof.
-  void told(std::uint64_t asked_ms, std::chrono::milliseconds age);
+  // A gateway that was polled at this time, and has no later configuration,
+  // reported the age of its proof.
+  void told(std::uint64_t polled_ms, std::chrono::milliseconds age);
 
-  // Whether what needs a key may be served.
+  // Whether requests that require a key may be served.
   bool holds(std::uint64_t now_ms) const;
 
-  // Whether other gateways should be asked for a later proof: the own way to
-  // the platform has brought none for a while.
+  // Whether other gateways should be polled for a later proof, since the
+  // platform has given none for half of the limit.
   bool is_ageing(std::uint64_t now_ms) const;
 
-  // Nothing: there has been no proof yet.
+  // Empty if there has been no proof yet.
   std::optional<std::chrono::milliseconds> age(std::uint64_t now_ms) const;
 
  private:
   std::optional<std::chrono::milliseconds> limit_;
-  std::optional<std::uint64_t> proven_ms_;
+  std::optional<std::uint64_t> proven_at_ms_;
 };
 
-// The longest wait of a watch for configurations, so that proofs come in time:
-// an answer proves only what was so when the watch was sent.
+// The maximum wait of a watch for configurations. A response proves only the
+// state at the time at which the watch was sent, so a wait has to be shorter
+// than the limit.
 std::chrono::milliseconds proving_wait(
     std::optional<std::chrono::milliseconds> limit,
-    std::chrono::milliseconds usual);
+    std::chrono::milliseconds default_wait);
 
 }  // namespace trayrock
--- a/src/decide/configuration_proof.cc
+++ b/src/decide/configuration_proof.cc
@@ -7,27 +7,26 @@
 
 using std::chrono::milliseconds;
 
-// Taken off the limit: the processor may be late between the reading of a
-// request and the look at the clock, by some tens of ms on a busy box.
-constexpr milliseconds margin{150};
-// Parts of the limit. A watch that waits for a fifth of it gives proofs of two
-// fifths at the most; those who ask a gateway that watches have them a tenth
-// later. What is left, two fifths and more, is for calls that get no answer. A
-// tenth costs more calls and gains nothing.
-constexpr int waits_per_limit = 5;
-// From half of the limit on other gateways are asked.
-constexpr int ageing_per_limit = 2;
+// Subtracted from the limit, since the process may be descheduled between the
+// reading of a request and the check.
+constexpr milliseconds scheduling_margin{150};
+// A watch waits for a fifth of the limit, so that proofs are at most two fifths
+// of it old, and one tenth more at gateways that poll a watcher. The rest is
+// left for calls that get no response.
+constexpr int watch_wait_divisor = 5;
+// Other gateways are polled once the proof is older than half of the limit.
+constexpr int refresh_divisor = 2;
 
 }  // namespace
 
 void configuration_proof::shown(std::uint64_t sent_ms) {
-  proven_ms_ = std::max(proven_ms_.value_or(0), sent_ms);
+  proven_at_ms_ = std::max(proven_at_ms_.value_or(0), sent_ms);
 }
 
-void configuration_proof::told(std::uint64_t asked_ms, milliseconds age) {
-  const auto length = static_cast<std::uint64_t>(age.count());
-  if (length < asked_ms) {
-    shown(asked_ms - length);
+void configuration_proof::told(std::uint64_t polled_ms, milliseconds age) {
+  const auto age_ms = static_cast<std::uint64_t>(age.count());
+  if (age_ms < polled_ms) {
+    shown(polled_ms - age_ms);
   }
 }
 
@@ -35,29 +34,30 @@
   if (!limit_) {
     return true;
   }
-  const std::optional<milliseconds> held = age(now_ms);
-  return held && *held + margin <= *limit_;
+  const std::optional<milliseconds> current = age(now_ms);
+  return current && *current + scheduling_margin <= *limit_;
 }
 
 bool configuration_proof::is_ageing(std::uint64_t now_ms) const {
   if (!limit_) {
     return false;
   }
-  const std::optional<milliseconds> held = age(now_ms);
-  return !held || *held > *limit_ / ageing_per_limit;
+  const std::optional<milliseconds> current = age(now_ms);
+  return !current || *current > *limit_ / refresh_divisor;
 }
 
 std::optional<milliseconds> configuration_proof::age(
     std::uint64_t now_ms) const {
-  if (!proven_ms_) {
+  if (!proven_at_ms_) {
     return std::nullopt;
   }
-  return milliseconds(now_ms - std::min(*proven_ms_, now_ms));
+  return milliseconds(now_ms - std::min(*proven_at_ms_, now_ms));
 }
 
 milliseconds proving_wait(std::optional<milliseconds> limit,
-                          milliseconds usual) {
-  return limit ? std::min(usual, *limit / waits_per_limit) : usual;
+                          milliseconds default_wait) {
+  return limit ? std::min(default_wait, *limit / watch_wait_divisor)
+               : default_wait;
 }
 
 }  // namespace trayrock
