--- a/include/trayrock/internal/decide/token_budget.h
+++ b/include/trayrock/internal/decide/token_budget.h
@@ -1,9 +1,9 @@
-// Whether a program's budget of tokens holds one more turn.
+// Decides whether a program's token budget allows one more turn.
 //
-// Every turn reserves the most that it may use before it is sent, and settles
-// what it used once it has ended. A turn that never settles counts at its
-// most. The known usage is the union of what several stores hold; a turn that
-// any of them knows as settled is settled.
+// Each turn reserves the maximum that it may use before it is sent, and settles
+// what it used once it has ended; until then the reservation counts in full.
+// The usage is the union of the records of several stores: a turn that is
+// settled at any of them is settled.
 //
 // Example:
 //   program_usage usage;
@@ -19,7 +19,7 @@
 namespace trayrock {
 
 struct turn_usage {
-  std::string attempt;  // any name; the same one for the same attempt
+  std::string attempt;  // unique id of the attempt
   std::uint64_t reserved = 0;
   bool settled = false;
   std::uint64_t used = 0;
@@ -27,22 +27,22 @@
 
 enum class budget_verdict {
   fits,
-  spent,  // would not fit even if every open turn used nothing
-  wait    // open turns may still leave enough
+  spent,  // would not fit even if all open turns used nothing
+  wait    // may fit once open turns are settled
 };
 
 class program_usage {
  public:
-  // Adds what one store knows of one turn.
+  // Adds one store's record of a turn.
   void add(const turn_usage& turn);
 
-  // Decides about a turn whose own reservation may be among those added.
-  budget_verdict decide(std::string_view attempt, std::uint64_t most,
+  // Decides about an attempt that may use `max_tokens`. Its own reservation may
+  // have been added before.
+  budget_verdict decide(std::string_view attempt, std::uint64_t max_tokens,
                         std::uint64_t budget) const;
 
-  // Tokens settled, and reserved by turns that are open.
-  std::uint64_t used() const;
-  std::uint64_t open() const;
+  std::uint64_t used() const;  // tokens of settled turns
+  std::uint64_t open() const;  // tokens reserved by open turns
 
  private:
   std::map<std::string, turn_usage, std::less<>> turns_;
--- a/src/decide/token_budget.cc
+++ b/src/decide/token_budget.cc
@@ -9,10 +9,10 @@
   if (added) {
     return;
   }
-  turn_usage& held = found->second;
-  held.reserved = std::max(held.reserved, turn.reserved);
-  held.used = std::max(held.used, turn.used);
-  held.settled = held.settled || turn.settled;
+  turn_usage& known = found->second;
+  known.reserved = std::max(known.reserved, turn.reserved);
+  known.used = std::max(known.used, turn.used);
+  known.settled = known.settled || turn.settled;
 }
 
 std::uint64_t program_usage::used() const {
@@ -32,16 +32,18 @@
 }
 
 budget_verdict program_usage::decide(std::string_view attempt,
-                                     std::uint64_t most,
+                                     std::uint64_t max_tokens,
                                      std::uint64_t budget) const {
   const auto own = turns_.find(attempt);
-  const bool counted = own != turns_.end() && !own->second.settled;
-  const std::uint64_t others = open() - (counted ? own->second.reserved : 0);
-  if (used() + most > budget) {
+  const bool is_reserved = own != turns_.end() && !own->second.settled;
+  const std::uint64_t reserved_by_others =
+      open() - (is_reserved ? own->second.reserved : 0);
+  if (used() + max_tokens > budget) {
     return budget_verdict::spent;
   }
-  return used() + others + most > budget ? budget_verdict::wait
-                                         : budget_verdict::fits;
+  return used() + reserved_by_others + max_tokens > budget
+             ? budget_verdict::wait
+             : budget_verdict::fits;
 }
 
 }  // namespace trayrock
