--- a/include/trayrock/internal/decide/store_peers.h
+++ b/include/trayrock/internal/decide/store_peers.h
@@ -1,11 +1,13 @@
-// What a record store knows of the other stores of its group, and whether it
-// has read enough of them to count as a voter.
+// What a record store has learned from the other stores of its group, and
+// whether it has read enough from them to count as a voter.
 //
-// No I/O; the caller gives the time. A store that becomes a voter of an epoch
-// counts once it has read a read quorum of the voters of the epoch before, each
-// after that one was told of the new epoch (fenced) and so refuses older ones.
-// The same holds for every voter of a group that shrank, whose quorums are
-// smaller. Without the fence, a write could be acknowledged behind the reading.
+// A new voter counts once it has read a read quorum of the voters of the
+// previous epoch. Each of these has to be fenced first, that is, it has
+// received the new epoch and refuses older ones; otherwise a write could be
+// acknowledged after the read. The same holds for every voter of a group that
+// shrank, whose quorums are smaller.
+//
+// No I/O; the caller supplies the time.
 //
 // Example:
 //   store_peers peers;
@@ -28,43 +30,43 @@
 
 struct store_peer {
   records::Store store;
-  bool learner = false;  // only asked whether it lives
+  bool learner = false;  // polled for liveness only
   std::uint64_t first_asked_ms = 0;
   std::uint64_t answered_ms = 0;  // 0: never
-  std::string id_at_address;      // which store answers there; empty: none yet
-  bool counts = false;            // in the present epoch
-  bool read_to_end = false;       // all that it held lately has been read
-  bool fenced = false;            // for the present epoch
+  std::string id_at_address;      // store that replies there; empty: none yet
+  bool counts = false;            // as a voter of the current epoch
+  bool read_to_end = false;  // the last pull reached the end of its records
+  bool fenced = false;       // for the current epoch
 
-  bool pull_began_fenced = false;
+  bool fenced_at_pull_start = false;
   bool read_since_fence = false;
 };
 
 class store_peers {
  public:
-  // Follows the group of the store's state: its voters, those of the epoch
-  // before, and its learners.
+  // Updates the peers to the group of the store's state: its voters, those of
+  // the previous epoch, and its learners.
   void follow(const records::StoreState& own, std::uint64_t now_ms);
 
   void pull_began(const std::string& id);
 
-  // A pull was answered. False if the peer is not followed any more or if
-  // another store has taken its address.
-  bool answered(const std::string& id, const records::PullReply& answer,
+  // Returns false if the store is no longer a peer, or if another store replied
+  // at its address.
+  bool answered(const std::string& id, const records::PullReply& reply,
                 std::uint64_t now_ms);
 
-  // What the last pull brought is on this store's disk.
+  // The records of the last pull are on this store's disk.
   void read(const std::string& id, bool to_end);
 
-  // A fence for `epoch` was answered. True if the peer is fenced now.
-  bool fence_answered(const std::string& id, const records::FenceReply& answer,
+  // Handles the reply to a fence for `epoch`. True if the peer is fenced now.
+  bool fence_answered(const std::string& id, const records::FenceReply& reply,
                       std::uint64_t epoch);
 
-  // Previous voters that have been read as a voter that joins has to, itself
-  // included if it is one that counted.
+  // The number of previous voters that have been read after their fence,
+  // including this store if it was one that counted.
   std::size_t read_since_fence(const records::StoreState& own) const;
 
-  // True when a voter that does not count yet may do so.
+  // Whether this voter, which does not count yet, may do so.
   bool joined(const records::StoreState& own) const;
 
   const store_peer* find(const std::string& id) const;
@@ -73,8 +75,8 @@
 
  private:
   void begin_epoch(std::uint64_t epoch);
-  void follow_one(const records::Store& store, bool is_voting,
-                  std::uint64_t now_ms);
+  void follow_store(const records::Store& store, bool is_voting,
+                    std::uint64_t now_ms);
 
   std::map<std::string, store_peer> peers_;  // by id
   std::uint64_t epoch_ = 0;
--- a/src/decide/store_peers.cc
+++ b/src/decide/store_peers.cc
@@ -7,7 +7,7 @@
 namespace trayrock {
 namespace {
 
-// Votes in the present epoch, or did in the one before.
+// Whether the store votes in the current epoch, or did in the previous one.
 bool votes(const records::Group& group, const std::string& id) {
   return is_voter(group, id) ||
          find_store(group.previous_voters(), id) != nullptr;
@@ -20,20 +20,20 @@
   if (group.epoch() != epoch_) {
     begin_epoch(group.epoch());
   }
-  std::erase_if(peers_, [&](const auto& held) {
-    return !votes(group, held.first) && !is_learner(group, held.first);
+  std::erase_if(peers_, [&](const auto& peer) {
+    return !votes(group, peer.first) && !is_learner(group, peer.first);
   });
   for (const auto* stores :
        {&group.voters(), &group.previous_voters(), &group.learners()}) {
     for (const records::Store& each : *stores) {
       if (each.id() != own.id()) {
-        follow_one(each, votes(group, each.id()), now_ms);
+        follow_store(each, votes(group, each.id()), now_ms);
       }
     }
   }
 }
 
-// What was known for the epoch before does not hold for this one.
+// Clears the state that is valid for one epoch only.
 void store_peers::begin_epoch(std::uint64_t epoch) {
   epoch_ = epoch;
   for (auto& [id, each] : peers_) {
@@ -43,99 +43,100 @@
   }
 }
 
-void store_peers::follow_one(const records::Store& store, bool is_voting,
-                             std::uint64_t now_ms) {
-  store_peer& followed = peers_[store.id()];
-  if (followed.first_asked_ms == 0) {
-    followed.first_asked_ms = now_ms;
+void store_peers::follow_store(const records::Store& store, bool is_voting,
+                               std::uint64_t now_ms) {
+  store_peer& peer = peers_[store.id()];
+  if (peer.first_asked_ms == 0) {
+    peer.first_asked_ms = now_ms;
   }
-  followed.store = store;
-  followed.learner = !is_voting;
+  peer.store = store;
+  peer.learner = !is_voting;
 }
 
 void store_peers::pull_began(const std::string& id) {
-  const auto held = peers_.find(id);
-  if (held != peers_.end()) {
-    held->second.pull_began_fenced = held->second.fenced;
+  const auto found = peers_.find(id);
+  if (found != peers_.end()) {
+    found->second.fenced_at_pull_start = found->second.fenced;
   }
 }
 
 bool store_peers::answered(const std::string& id,
-                           const records::PullReply& answer,
+                           const records::PullReply& reply,
                            std::uint64_t now_ms) {
-  const auto held = peers_.find(id);
-  if (held == peers_.end()) {
+  const auto found = peers_.find(id);
+  if (found == peers_.end()) {
     return false;
   }
-  store_peer& from = held->second;
-  from.answered_ms = now_ms;
-  from.id_at_address = answer.store();
-  const bool same = answer.store() == id;
-  from.counts = same && answer.counts() && answer.epoch() == epoch_;
-  from.read_to_end = from.read_to_end && same;
+  store_peer& peer = found->second;
+  peer.answered_ms = now_ms;
+  peer.id_at_address = reply.store();
+  const bool same = reply.store() == id;
+  peer.counts = same && reply.counts() && reply.epoch() == epoch_;
+  peer.read_to_end = peer.read_to_end && same;
   return same;
 }
 
 void store_peers::read(const std::string& id, bool to_end) {
-  const auto held = peers_.find(id);
-  if (held == peers_.end()) {
+  const auto found = peers_.find(id);
+  if (found == peers_.end()) {
     return;
   }
-  store_peer& from = held->second;
-  from.read_to_end = to_end;
-  if (to_end && from.fenced && from.pull_began_fenced) {
-    from.read_since_fence = true;
+  store_peer& peer = found->second;
+  peer.read_to_end = to_end;
+  if (to_end && peer.fenced && peer.fenced_at_pull_start) {
+    peer.read_since_fence = true;
   }
 }
 
 bool store_peers::fence_answered(const std::string& id,
-                                 const records::FenceReply& answer,
+                                 const records::FenceReply& reply,
                                  std::uint64_t epoch) {
-  const auto held = peers_.find(id);
-  if (held == peers_.end() || epoch != epoch_) {
+  const auto found = peers_.find(id);
+  if (found == peers_.end() || epoch != epoch_) {
     return false;
   }
-  store_peer& voter = held->second;
+  store_peer& voter = found->second;
   voter.fenced =
-      answer.store() == id && answer.counts() && answer.epoch() >= epoch;
-  voter.pull_began_fenced = false;
+      reply.store() == id && reply.counts() && reply.epoch() >= epoch;
+  voter.fenced_at_pull_start = false;
   return voter.fenced;
 }
 
 std::size_t store_peers::read_since_fence(
     const records::StoreState& own) const {
   const records::Group& group = own.group();
-  const auto others = static_cast<std::size_t>(
-      std::count_if(peers_.begin(), peers_.end(), [&](const auto& held) {
-        return held.second.read_since_fence &&
-               find_store(group.previous_voters(), held.first) != nullptr;
+  const auto peers = static_cast<std::size_t>(
+      std::count_if(peers_.begin(), peers_.end(), [&](const auto& peer) {
+        return peer.second.read_since_fence &&
+               find_store(group.previous_voters(), peer.first) != nullptr;
       }));
   const bool self = find_store(group.previous_voters(), own.id()) != nullptr &&
                     answer_fence(own, group.epoch()).counts();
-  return others + (self ? 1 : 0);
+  return peers + (self ? 1 : 0);
 }
 
 bool store_peers::joined(const records::StoreState& own) const {
   const records::Group& group = own.group();
   if (group.epoch() != epoch_) {
-    return false;  // what was read belongs to an older epoch
+    return false;  // the reads belong to an older epoch
   }
-  const auto before = static_cast<std::size_t>(group.previous_voters_size());
-  return before == 0 ||
-         read_since_fence(own) >= read_quorum(before, group.tolerated());
+  const auto previous = static_cast<std::size_t>(group.previous_voters_size());
+  return previous == 0 ||
+         read_since_fence(own) >= read_quorum(previous, group.tolerated());
 }
 
 const store_peer* store_peers::find(const std::string& id) const {
-  const auto held = peers_.find(id);
-  return held == peers_.end() ? nullptr : &held->second;
+  const auto found = peers_.find(id);
+  return found == peers_.end() ? nullptr : &found->second;
 }
 
 std::map<std::string, peer_view> store_peers::views(
     std::uint64_t now_ms) const {
   std::map<std::string, peer_view> made;
   for (const auto& [id, each] : peers_) {
-    const std::uint64_t heard = std::max(each.answered_ms, each.first_asked_ms);
-    made[id] = {now_ms - heard, each.read_to_end, each.counts,
+    const std::uint64_t last_contact_ms =
+        std::max(each.answered_ms, each.first_asked_ms);
+    made[id] = {now_ms - last_contact_ms, each.read_to_end, each.counts,
                 each.id_at_address};
   }
   return made;
