--- a/include/trayrock/internal/decide/store_membership.h
+++ b/include/trayrock/internal/decide/store_membership.h
@@ -1,16 +1,17 @@
-// What a record store does next about its place in the group.
+// Decides how a record store joins, leaves or stays out of its group's voters.
 //
-// No I/O and no clock: the store's view goes in, one action comes out. A store
-// that is no voter holds nothing until a voter has lost its disk, is to be
-// retired, or has been silent for long, or the group lacks a voter. Then it
-// becomes a learner, reads what the voters hold, and takes that place. A voter
-// that is to be retired waits for a successor and leaves without one if none
-// is there.
+// A store that is not a voter is a spare and holds no records. There is a
+// vacancy when a voter has lost its disk, is to be retired or is silent for too
+// long, or when the group has too few voters. Then a spare becomes a learner,
+// reads the records of the voters, and becomes a voter. A retiring voter waits
+// for its successor, and leaves without one after a bounded wait.
 //
-// Only as many stores learn as places are open or may be lost at once, since
-// all of them read from the same voters; more do when those have had some
-// seconds. Those that have learned go on, so that the next place is taken at
-// once.
+// The number of learners is bounded by the vacancies or by the tolerated
+// losses, since all learners read from the same voters; one more joins whenever
+// the others have had their time. Learners keep learning after a vacancy is
+// filled, so that they can fill the next one at once.
+//
+// No I/O and no clock: a view goes in, one action comes out.
 //
 // Example:
 //   const membership_action next = next_membership_action(view);
@@ -29,12 +30,12 @@
 
 namespace trayrock {
 
-// What a store knows of another one.
+// The state of a peer as this store last received it.
 struct peer_view {
-  std::uint64_t silent_ms = 0;  // since its last answer, or since first asked
-  bool read_to_end = false;     // all that it held lately has been read
-  bool counts = false;
-  std::string id_at_address;  // which store answers there; empty: none yet
+  std::uint64_t silent_ms = 0;  // since its last reply or the first poll
+  bool read_to_end = false;     // the last pull reached the end of its records
+  bool counts = false;          // as a voter of the current epoch
+  std::string id_at_address;    // store that replies there; empty: none yet
 };
 
 struct membership_view {
@@ -42,40 +43,37 @@
   records::Group group;
   std::map<std::string, peer_view> peers;  // by the id in the group
   std::set<std::string> retiring_boxes;
-  bool retirement_told = false;   // of this store's box, by another store
-  std::uint64_t retiring_ms = 0;  // how long this store's box has been asked to
-  bool change_pending = false;    // a change of the group is under way
-  // Stores that are learners already go on learning for the next places.
+  bool retirement_told = false;   // a peer reports that this box is to retire
+  std::uint64_t retiring_ms = 0;  // since this box was to retire; 0: it is not
+  bool change_pending = false;    // a change of the group is in progress
+  // Learners keep learning, in order to fill the next vacancy.
   bool keeps_learners_ready = true;
-  // How long this store has seen a place that has to be filled; 0: none.
-  std::uint64_t place_open_ms = 0;
+  std::uint64_t place_open_ms = 0;  // time since the vacancy; 0: there is none
 };
 
 struct do_nothing {};
-// Tell the gateways to copy writes here, and no more to learners that are gone.
+// Gateways then copy writes to this store, and no longer to lost learners.
 struct become_learner {
-  std::vector<std::string> gone;  // their ids
+  std::vector<std::string> gone;  // ids
 };
-// Become a voter; `leaving` is empty where the group lacks one.
 struct take_place {
-  std::string leaving;
+  std::string leaving;  // the voter to replace; empty: one is missing
   std::string_view cause;
 };
-// Leave the group, which stays smaller.
+// Leave the group, which is smaller afterwards.
 struct leave_group {};
-// This box's data is no longer needed.
+// The data of this box is no longer needed.
 struct finish_retirement {};
 
 using membership_action = std::variant<do_nothing, become_learner, take_place,
                                        leave_group, finish_retirement>;
 
-// Whether the store has to ask the platform about the group by itself. One
-// that takes no part, and has none to take, hears of it from the voters, so
-// that the calls to the platform do not grow with the stores. A voter is no
-// such store: the others rely on it.
+// Whether the store has to watch the platform for changes of the group. A spare
+// store without a vacancy receives them from the voters instead, so that the
+// calls to the platform do not grow with the number of stores.
 bool needs_platform(const membership_view& view);
 
-// True when a voter has to be replaced, or one is missing.
+// Whether a voter has to be replaced, or one is missing.
 bool has_open_place(const membership_view& view);
 
 membership_action next_membership_action(const membership_view& view);
--- a/src/decide/store_membership.cc
+++ b/src/decide/store_membership.cc
@@ -10,31 +10,31 @@
 namespace trayrock {
 namespace {
 
-// A voter that has not answered for this long is replaced. Shorter freezes
-// and restarts are ridden out; a new store has to count 4.3 s after its start.
+// A voter that has not replied for this long is replaced. Longer than short
+// pauses and restarts.
 constexpr std::uint64_t silence_before_replacement_ms = 1600;
 
-// How long a retiring voter waits for a successor before it leaves alone.
+// How long a retiring voter waits for a learner before it leaves the group
+// without a successor.
 constexpr std::uint64_t successor_wait_ms = 2500;
 
-// A retiring voter waits this long while a successor learns, which takes 3 to 5
-// s: a group that shrinks bears no loss until it has grown again. Retirements
-// are asked for with 8 s and more.
+// The same while there is a learner. Longer, since a smaller group tolerates no
+// loss until it has grown again; retirements are requested 8 s ahead or more.
 constexpr std::uint64_t learning_successor_wait_ms = 5000;
 
-// A learner that has not answered for this long is taken as gone. Learners are
-// asked every 400 ms; a busy one answers within some tens of ms.
+// A learner that has not replied for this long is lost. Learners are polled
+// every 400 ms.
 constexpr std::uint64_t learner_silence_ms = 1000;
 
-// A spare store that has heard a voter within this time leaves the platform to
-// the voters. It asks each of them every 400 ms.
-constexpr std::uint64_t voter_heard_ms = 1200;
+// A spare store that received a voter's reply within this time does not watch
+// the platform. It polls each voter every 400 ms.
+constexpr std::uint64_t max_voter_silence_ms = 1200;
 
-// How long the stores that learn have before one more joins them. Reading
-// 38,000 records took 8 s at 0.3 cores, and takes longer with each reader.
-constexpr std::uint64_t learner_time_ms = 5000;
+// How long the learners have before one more store may join them. Each further
+// reader slows the others down.
+constexpr std::uint64_t time_per_learner_ms = 5000;
 
-// Why a voter is replaced, the most urgent cause first.
+// Causes to replace a voter, the most urgent first.
 constexpr std::string_view disk_lost = "disk_lost";
 constexpr std::string_view retiring = "retiring";
 constexpr std::string_view silent = "silent";
@@ -49,8 +49,9 @@
   return voter.silent_ms >= silence_before_replacement_ms;
 }
 
-// True if another store answers at the address of the one with this id.
-bool another_answers(const peer_view& peer, const std::string& id) {
+// True if a store with another id replies at the peer's address, since the disk
+// of the peer was lost.
+bool has_lost_disk(const peer_view& peer, const std::string& id) {
   return !peer.id_at_address.empty() && peer.id_at_address != id;
 }
 
@@ -60,7 +61,7 @@
          !is_silent(*peer);
 }
 
-// True if enough voters' records have been read, so that this store can be one.
+// Whether this store has read a read quorum of the voters.
 bool has_read_enough(const membership_view& view) {
   const auto& voters = view.group.voters();
   const auto read = static_cast<std::size_t>(std::count_if(
@@ -76,7 +77,7 @@
          peer->id_at_address == voter.id() && !is_silent(*peer);
 }
 
-// True while a voter that took a place has not read all it needs.
+// Whether a new voter has not yet read enough to count.
 bool voter_is_catching_up(const membership_view& view) {
   const auto& voters = view.group.voters();
   return std::any_of(
@@ -93,12 +94,12 @@
       });
 }
 
-// Why the voter has to be replaced; empty: it need not be.
-std::string_view cause_to_replace(const membership_view& view,
-                                  const records::Store& voter) {
+// The cause to replace the voter; empty: there is none.
+std::string_view replacement_cause(const membership_view& view,
+                                   const records::Store& voter) {
   const peer_view* peer = view_of(view, voter.id());
   if (voter.address() == view.self.address() ||
-      (peer != nullptr && another_answers(*peer, voter.id()))) {
+      (peer != nullptr && has_lost_disk(*peer, voter.id()))) {
     return disk_lost;
   }
   if (view.retiring_boxes.contains(voter.box())) {
@@ -107,25 +108,25 @@
   return peer != nullptr && is_silent(*peer) ? silent : std::string_view();
 }
 
-// The places that have to be filled, the most urgent first.
-std::vector<take_place> open_places(const membership_view& view) {
-  std::vector<take_place> places;
+// In order of urgency.
+std::vector<take_place> find_vacancies(const membership_view& view) {
+  std::vector<take_place> vacancies;
   for (const std::string_view cause : urgency) {
     for (const records::Store& each : view.group.voters()) {
-      if (cause_to_replace(view, each) == cause) {
-        places.push_back({each.id(), cause});
+      if (replacement_cause(view, each) == cause) {
+        vacancies.push_back({each.id(), cause});
       }
     }
   }
   const auto voters = static_cast<std::size_t>(view.group.voters_size());
   if (voters < full_group(view.group.tolerated())) {
-    places.push_back({"", "voter_missing"});
+    vacancies.push_back({"", "voter_missing"});
   }
-  return places;
+  return vacancies;
 }
 
-// True if a store that is listed as a learner can not be one any more.
-bool is_gone(const membership_view& view, const records::Store& learner) {
+// True if a learner of the group's list has stopped or lost its disk.
+bool is_lost(const membership_view& view, const records::Store& learner) {
   if (learner.id() == view.self.id()) {
     return false;
   }
@@ -133,78 +134,79 @@
     return true;
   }
   const peer_view* peer = view_of(view, learner.id());
-  return peer != nullptr && (another_answers(*peer, learner.id()) ||
+  return peer != nullptr && (has_lost_disk(*peer, learner.id()) ||
                              peer->silent_ms >= learner_silence_ms);
 }
 
-std::vector<std::string> gone_learners(const membership_view& view) {
-  std::vector<std::string> gone;
+std::vector<std::string> find_lost_learners(const membership_view& view) {
+  std::vector<std::string> lost;
   for (const records::Store& each : view.group.learners()) {
-    if (is_gone(view, each)) {
-      gone.push_back(each.id());
+    if (is_lost(view, each)) {
+      lost.push_back(each.id());
     }
   }
-  return gone;
+  return lost;
 }
 
-std::size_t living_learners(const membership_view& view) {
+std::size_t count_live_learners(const membership_view& view) {
   return static_cast<std::size_t>(view.group.learners_size()) -
-         gone_learners(view).size();
+         find_lost_learners(view).size();
 }
 
-// Whether the stores that learn already should have the places to themselves.
-bool learners_suffice(const membership_view& view, std::size_t places) {
-  const std::size_t learners = living_learners(view);
+// Whether there are enough learners for now, so that this store need not become
+// one.
+bool learners_suffice(const membership_view& view, std::size_t vacancies) {
+  const std::size_t learners = count_live_learners(view);
   const auto ready = static_cast<std::size_t>(
       view.keeps_learners_ready ? view.group.tolerated() : 0);
-  const std::size_t wanted = std::max(places, ready);
+  const std::size_t wanted = std::max(vacancies, ready);
   return learners >= wanted &&
-         view.place_open_ms < learner_time_ms * (1 + learners - wanted);
+         view.place_open_ms < time_per_learner_ms * (1 + learners - wanted);
 }
 
-membership_action next_of_voter(const membership_view& view) {
+membership_action next_for_voter(const membership_view& view) {
   const auto voters = static_cast<std::size_t>(view.group.voters_size());
-  const bool leaving = view.retiring_boxes.contains(view.self.box());
+  const bool is_retiring = view.retiring_boxes.contains(view.self.box());
   const bool can_shrink = voters > view.group.tolerated() + 1U;
-  const std::uint64_t wait = living_learners(view) > 0
+  const std::uint64_t wait = count_live_learners(view) > 0
                                  ? learning_successor_wait_ms
                                  : successor_wait_ms;
-  if (leaving && can_shrink && view.retiring_ms >= wait &&
+  if (is_retiring && can_shrink && view.retiring_ms >= wait &&
       !voter_is_catching_up(view)) {
     return leave_group{};
   }
   return do_nothing{};
 }
 
-// Of a store that is no voter, nor to be retired.
-membership_action next_of_spare(const membership_view& view) {
-  const std::vector<take_place> places = open_places(view);
-  if (places.empty()) {
-    return do_nothing{};  // a spare store costs nothing until it is needed
+// For a store that is neither a voter nor to be retired.
+membership_action next_for_spare(const membership_view& view) {
+  const std::vector<take_place> vacancies = find_vacancies(view);
+  if (vacancies.empty()) {
+    return do_nothing{};  // a spare store has no work until it is needed
   }
   if (!is_learner(view.group, view.self.id())) {
-    return learners_suffice(view, places.size())
+    return learners_suffice(view, vacancies.size())
                ? membership_action(do_nothing{})
-               : membership_action(become_learner{gone_learners(view)});
+               : membership_action(become_learner{find_lost_learners(view)});
   }
   if (!has_read_enough(view) || voter_is_catching_up(view)) {
     return do_nothing{};
   }
-  return places.front();
+  return vacancies.front();
 }
 
 }  // namespace
 
 bool has_open_place(const membership_view& view) {
-  return !open_places(view).empty();
+  return !find_vacancies(view).empty();
 }
 
 bool needs_platform(const membership_view& view) {
-  const bool takes_part = is_voter(view.group, view.self.id()) ||
-                          is_learner(view.group, view.self.id());
-  const bool leaves =
+  const bool is_member = is_voter(view.group, view.self.id()) ||
+                         is_learner(view.group, view.self.id());
+  const bool is_retiring =
       view.retirement_told || view.retiring_boxes.contains(view.self.box());
-  if (takes_part || leaves || has_open_place(view)) {
+  if (is_member || is_retiring || has_open_place(view)) {
     return true;
   }
   return std::none_of(view.group.voters().begin(), view.group.voters().end(),
@@ -212,7 +214,7 @@
                         const peer_view* peer = view_of(view, each.id());
                         return peer != nullptr &&
                                !peer->id_at_address.empty() &&
-                               peer->silent_ms < voter_heard_ms;
+                               peer->silent_ms < max_voter_silence_ms;
                       });
 }
 
@@ -221,13 +223,13 @@
     return do_nothing{};
   }
   if (is_voter(view.group, view.self.id())) {
-    return next_of_voter(view);
+    return next_for_voter(view);
   }
   if (view.retiring_boxes.contains(view.self.box())) {
     return every_voter_counts(view) ? membership_action(finish_retirement{})
                                     : membership_action(do_nothing{});
   }
-  return next_of_spare(view);
+  return next_for_spare(view);
 }
 
 }  // namespace trayrock
