--- a/test/watch_roles_test.cc
+++ b/test/watch_roles_test.cc
@@ -1,4 +1,4 @@
-// Who watches the platform, and whom the others ask.
+// Which gateways watch the platform, and which watchers the others poll.
 #include "trayrock/internal/decide/watch_roles.h"
 
 #include <algorithm>
@@ -32,7 +32,7 @@
   return {peer.name, peer.data_centre, sharing};
 }
 
-// Of one data centre, those that take themselves for watchers.
+// The gateways of one data centre that count themselves as watchers.
 std::set<std::string> watchers_among(const std::vector<relay_peer>& peers) {
   std::set<std::string> found;
   for (const relay_peer& each : peers) {
@@ -44,7 +44,7 @@
   return found;
 }
 
-std::string asked(const watch_step& step) {
+std::string polled(const watch_step& step) {
   const auto* ask = std::get_if<ask_watcher>(&step);
   return ask == nullptr ? "the platform" : ask->address;
 }
@@ -53,16 +53,16 @@
   CPPUNIT_TEST_SUITE(watch_roles_test);
   CPPUNIT_TEST(two_of_each_data_centre_watch);
   CPPUNIT_TEST(two_gateways_or_fewer_all_watch);
-  CPPUNIT_TEST(all_watch_when_nothing_is_shared);
-  CPPUNIT_TEST(others_ask_both_watchers_by_turns);
-  CPPUNIT_TEST(silent_watcher_is_followed_by_the_next_in_order);
-  CPPUNIT_TEST(gateway_that_finds_no_watcher_asks_the_platform);
-  CPPUNIT_TEST(gateway_that_asked_the_platform_asks_watchers_again);
-  CPPUNIT_TEST(watcher_that_was_silent_is_asked_again);
-  CPPUNIT_TEST(news_go_to_the_watchers_of_all_data_centres);
-  CPPUNIT_TEST(start_of_a_fleet_reads_the_platform_by_its_watchers_only);
-  CPPUNIT_TEST(gateway_that_is_not_listed_yet_waits_for_peers);
-  CPPUNIT_TEST(gateway_that_nobody_tells_reads_the_platform_after_a_while);
+  CPPUNIT_TEST(all_gateways_watch_without_sharing);
+  CPPUNIT_TEST(followers_poll_both_watchers_in_rotation);
+  CPPUNIT_TEST(unresponsive_watcher_is_replaced_by_the_next_in_order);
+  CPPUNIT_TEST(gateway_without_a_watcher_watches_the_platform);
+  CPPUNIT_TEST(watchers_are_polled_again_after_the_platform);
+  CPPUNIT_TEST(unresponsive_watcher_is_polled_again_after_its_backoff);
+  CPPUNIT_TEST(updates_go_to_the_watchers_of_all_data_centres);
+  CPPUNIT_TEST(only_watchers_read_the_platform_when_a_fleet_starts);
+  CPPUNIT_TEST(unlisted_gateway_waits_for_peers);
+  CPPUNIT_TEST(gateway_without_peers_watches_the_platform_after_its_wait);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -71,7 +71,7 @@
                          watchers_among(peers_in("north", 19)).size());
   }
 
-  void start_of_a_fleet_reads_the_platform_by_its_watchers_only() {
+  void only_watchers_read_the_platform_when_a_fleet_starts() {
     for (const int count : {30, 354, 700}) {
       const auto peers = peers_in("north", count);
       int readers = 0;
@@ -81,18 +81,18 @@
                 .first(without(peers, each.name), true, {}, start_ms);
         readers += std::holds_alternative<watch_platform>(step) ? 1 : 0;
       }
-      TRAYROCK_CHECK(readers == 2, count << " gateways: expected 2, seen "
-                                         << readers << " that read all");
+      TRAYROCK_CHECK(readers == 2, count << " gateways: expected 2, got "
+                                         << readers << " that read from it");
     }
   }
 
-  void gateway_that_is_not_listed_yet_waits_for_peers() {
+  void unlisted_gateway_waits_for_peers() {
     watch_roles roles("north-1", "north", few_watch{});
     const first_watch_step step = roles.first({}, false, {}, start_ms);
     CPPUNIT_ASSERT(std::holds_alternative<wait_for_peers>(step));
   }
 
-  void gateway_that_nobody_tells_reads_the_platform_after_a_while() {
+  void gateway_without_peers_watches_the_platform_after_its_wait() {
     watch_roles roles("north-1", "north", few_watch{});
     const first_watch_step step =
         roles.first({}, false, std::chrono::milliseconds(2500), start_ms);
@@ -106,93 +106,95 @@
                          watchers_among(peers_in("north", 2)).size());
   }
 
-  void all_watch_when_nothing_is_shared() {
+  void all_gateways_watch_without_sharing() {
     const auto peers = peers_in("north", 5);
     watch_roles roles("north-9", "north", all_watch{});
     CPPUNIT_ASSERT_EQUAL(std::string("the platform"),
-                         asked(roles.next(peers, start_ms)));
+                         polled(roles.next(peers, start_ms)));
     CPPUNIT_ASSERT_EQUAL(peers.size(), roles.watchers(peers, start_ms).size());
   }
 
-  void others_ask_both_watchers_by_turns() {
+  void followers_poll_both_watchers_in_rotation() {
     const auto peers = peers_in("north", 9);
     const std::set<std::string> watchers = watchers_among(peers);
     watch_roles roles = roles_of(other_than(watchers, peers), few_watch{});
-    std::set<std::string> seen;
+    std::set<std::string> polled_watchers;
     for (int i = 0; i < 4; ++i) {
-      seen.insert(asked(roles.next(peers, start_ms)));
+      polled_watchers.insert(polled(roles.next(peers, start_ms)));
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, seen.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, polled_watchers.size());
     for (const std::string& each : watchers) {
-      CPPUNIT_ASSERT_MESSAGE(each + " was not asked",
-                             seen.contains(each + ":1"));
+      CPPUNIT_ASSERT_MESSAGE(each + " was not polled",
+                             polled_watchers.contains(each + ":1"));
     }
   }
 
-  void silent_watcher_is_followed_by_the_next_in_order() {
+  void unresponsive_watcher_is_replaced_by_the_next_in_order() {
     const auto peers = peers_in("north", 9);
     const std::set<std::string> watchers = watchers_among(peers);
     const std::string lost = *watchers.begin();
-    std::set<std::string> heirs;
+    std::set<std::string> successors;
     for (const relay_peer& each : peers) {
       watch_roles roles = roles_of(each, few_watch{});
       roles.unusable(lost + ":1", start_ms);
       const bool watches =
           roles.is_watcher(without(peers, each.name), start_ms + 1);
       if (watches && !watchers.contains(each.name)) {
-        heirs.insert(each.name);
+        successors.insert(each.name);
       }
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, heirs.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, successors.size());
   }
 
-  // Those behind in the order, which are not the next ones to watch for others.
-  void gateway_that_finds_no_watcher_asks_the_platform() {
+  // For gateways late in the order, which do not become watchers themselves.
+  void gateway_without_a_watcher_watches_the_platform() {
     const auto peers = all_data_centres();
-    int behind = 0;
+    int non_watchers = 0;
     for (const relay_peer& each : peers_in("north", 9)) {
       const auto others = without(peers, each.name);
       watch_roles roles = roles_of(each, few_watch{});
       for (int i = 0; i < 3; ++i) {
-        roles.unusable(asked(roles.next(others, start_ms)), start_ms);
+        roles.unusable(polled(roles.next(others, start_ms)), start_ms);
       }
       if (!roles.is_watcher(others, start_ms)) {
-        ++behind;
+        ++non_watchers;
         CPPUNIT_ASSERT_EQUAL_MESSAGE(each.name, std::string("the platform"),
-                                     asked(roles.next(others, start_ms)));
+                                     polled(roles.next(others, start_ms)));
       }
     }
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(behind) + " behind", behind >= 3);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(non_watchers) + " non-watchers",
+                           non_watchers >= 3);
   }
 
-  void gateway_that_asked_the_platform_asks_watchers_again() {
+  void watchers_are_polled_again_after_the_platform() {
     const auto peers = all_data_centres();
     watch_roles roles = follower(peers);
     for (int i = 0; i < 3; ++i) {
-      roles.unusable(asked(roles.next(peers, start_ms)), start_ms);
+      roles.unusable(polled(roles.next(peers, start_ms)), start_ms);
     }
-    CPPUNIT_ASSERT(asked(roles.next(peers, start_ms + 3500)) != "the platform");
+    CPPUNIT_ASSERT(polled(roles.next(peers, start_ms + 3500)) !=
+                   "the platform");
   }
 
-  void watcher_that_was_silent_is_asked_again() {
+  void unresponsive_watcher_is_polled_again_after_its_backoff() {
     const auto peers = all_data_centres();
     watch_roles roles = follower(peers);
-    const std::string silent = asked(roles.next(peers, start_ms));
-    roles.unusable(silent, start_ms);
-    std::set<std::string> soon;
-    std::set<std::string> later;
+    const std::string unresponsive = polled(roles.next(peers, start_ms));
+    roles.unusable(unresponsive, start_ms);
+    std::set<std::string> during_backoff;
+    std::set<std::string> after_backoff;
     for (int i = 0; i < 4; ++i) {
-      soon.insert(asked(roles.next(peers, start_ms + 500)));
-      later.insert(asked(roles.next(peers, start_ms + 1500)));
+      during_backoff.insert(polled(roles.next(peers, start_ms + 500)));
+      after_backoff.insert(polled(roles.next(peers, start_ms + 1500)));
     }
-    CPPUNIT_ASSERT(!soon.contains(silent));
-    CPPUNIT_ASSERT(later.contains(silent));
+    CPPUNIT_ASSERT(!during_backoff.contains(unresponsive));
+    CPPUNIT_ASSERT(after_backoff.contains(unresponsive));
   }
 
-  void news_go_to_the_watchers_of_all_data_centres() {
+  void updates_go_to_the_watchers_of_all_data_centres() {
     const auto peers = all_data_centres();
-    const auto told = follower(peers).watchers(peers, start_ms);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, told.size());
+    const auto receivers = follower(peers).watchers(peers, start_ms);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, receivers.size());
   }
 
  private:
@@ -210,7 +212,7 @@
     return peers;
   }
 
-  // A gateway of the north that is no watcher.
+  // A gateway of the north that is not a watcher.
   static watch_roles follower(const std::vector<relay_peer>& peers) {
     const auto north = peers_in("north", 9);
     return roles_of(other_than(watchers_among(north), peers), few_watch{});
