--- a/test/configuration_proof_test.cc
+++ b/test/configuration_proof_test.cc
@@ -1,5 +1,5 @@
-// How long ago a configuration was certainly the newest: single cases, and any
-// order of calls, answers, tellings, freezes and starts of several gateways.
+// Proofs of a configuration: single cases, and seeded random orders of calls,
+// responses, polls, pauses and restarts of several gateways.
 #include "trayrock/internal/decide/configuration_proof.h"
 
 #include <map>
@@ -15,108 +15,107 @@
 
 constexpr milliseconds limit{5000};
 
-// A platform and gateways in virtual time. A change takes the one key away; a
-// gateway holds either the configuration before or the one behind it.
-class world {
+// A platform and gateways in virtual time. One change revokes the only key; a
+// gateway has the configuration before or after it.
+class simulation {
  public:
-  explicit world(unsigned seed) : random_(seed) {
-    for (int i = 0; i < gateways; ++i) {
-      held_.emplace_back();
+  explicit simulation(unsigned seed) : random_(seed) {
+    for (int i = 0; i < gateway_count; ++i) {
+      gateways_.emplace_back();
     }
-    taken_away_ms_ = 8000 + random_() % 12000;
+    revoked_ms_ = 8000 + random_() % 12000;
   }
 
-  // Requests that ran though they were sent too late, and requests refused
-  // though a proof in time was there.
-  int late_runs = 0;
+  // Requests served though they were sent too late after the revocation, and
+  // requests refused in spite of a recent proof.
+  int served_late = 0;
   int refused_with_proof = 0;
-  int runs = 0;
+  int served = 0;
 
-  void play() {
+  void run() {
     for (now_ms_ = 1000; now_ms_ < 30000; now_ms_ += 1 + random_() % 40) {
-      step(random_() % gateways);
+      step(random_() % gateway_count);
     }
   }
 
  private:
-  static constexpr int gateways = 4;
+  static constexpr int gateway_count = 4;
 
   struct gateway {
     configuration_proof proof{limit};
-    bool knows_change = false;
-    bool knows_any = false;
-    std::uint64_t frozen_until_ms = 0;
-    // What is on its way to it: when it arrives, and what it then says.
-    struct answer {
-      std::uint64_t at_ms = 0;
+    bool has_change = false;
+    bool has_configuration = false;
+    std::uint64_t paused_until_ms = 0;
+    struct response {
+      std::uint64_t arrives_ms = 0;
       std::uint64_t sent_ms = 0;
       milliseconds age{0};
-      bool of_change = false;
+      bool has_change = false;
       bool from_peer = false;
     };
-    std::vector<answer> coming;
+    std::vector<response> responses;
     std::vector<std::uint64_t> requests;  // when they were sent
-    std::uint64_t best_proof_ms = 0;      // as this test reckons it
+    std::uint64_t best_proof_ms = 0;      // as this test computes it
   };
 
-  bool changed_at(std::uint64_t ms) const { return ms >= taken_away_ms_; }
+  bool is_revoked_at(std::uint64_t ms) const { return ms >= revoked_ms_; }
 
   void step(std::size_t which) {
-    gateway& at = held_[which];
+    gateway& at = gateways_[which];
     if (random_() % 12 == 0) {
       at.requests.push_back(now_ms_);
     }
-    if (at.frozen_until_ms > now_ms_) {
+    if (at.paused_until_ms > now_ms_) {
       return;
     }
-    take_answers(at);
+    receive_responses(at);
     read_requests(at);
     switch (random_() % 40) {
       case 0:
         at = gateway();
         return;
       case 1:
-        at.frozen_until_ms = now_ms_ + random_() % 8000;
+        at.paused_until_ms = now_ms_ + random_() % 8000;
         return;
       case 2:
       case 3:
-        ask_platform(at);
+        watch_platform(at);
         return;
       case 4:
-        ask_peer(at, held_[random_() % gateways]);
+        poll_peer(at, gateways_[random_() % gateway_count]);
         return;
       default:
         return;
     }
   }
 
-  // Watches wait, answers are late or lost.
-  void ask_platform(gateway& at) {
+  // Responses may be delayed or lost.
+  void watch_platform(gateway& at) {
     if (random_() % 4 == 0) {
       return;
     }
-    const std::uint64_t answered = now_ms_ + random_() % 1500;
-    at.coming.push_back({answered + random_() % 3000, now_ms_, milliseconds(0),
-                         changed_at(answered), false});
+    const std::uint64_t made_ms = now_ms_ + random_() % 1500;
+    at.responses.push_back({made_ms + random_() % 3000, now_ms_,
+                            milliseconds(0), is_revoked_at(made_ms), false});
   }
 
-  void ask_peer(gateway& at, const gateway& peer) {
-    const std::uint64_t answered = now_ms_ + random_() % 300;
+  void poll_peer(gateway& at, const gateway& peer) {
+    const std::uint64_t made_ms = now_ms_ + random_() % 300;
     const auto age = peer.proof.age(now_ms_);
-    if (&at == &peer || !age || !peer.knows_any) {
+    if (&at == &peer || !age || !peer.has_configuration) {
       return;
     }
-    at.coming.push_back(
-        {answered + random_() % 3000, now_ms_, *age, peer.knows_change, true});
+    at.responses.push_back(
+        {made_ms + random_() % 3000, now_ms_, *age, peer.has_change, true});
   }
 
-  void take_answers(gateway& at) {
-    std::erase_if(at.coming, [&](const gateway::answer& each) {
-      if (each.at_ms > now_ms_) {
+  void receive_responses(gateway& at) {
+    std::erase_if(at.responses, [&](const gateway::response& each) {
+      if (each.arrives_ms > now_ms_) {
         return false;
       }
-      at.knows_any = true;
-      at.knows_change = at.knows_change || each.of_change;
+      at.has_configuration = true;
+      at.has_change = at.has_change || each.has_change;
       if (each.from_peer) {
         at.proof.told(each.sent_ms, each.age);
       } else {
@@ -131,16 +130,16 @@
 
   void read_requests(gateway& at) {
     for (const std::uint64_t sent : at.requests) {
-      const bool runs_it =
-          at.knows_any && at.proof.holds(now_ms_) && !at.knows_change;
+      const bool serves =
+          at.has_configuration && at.proof.holds(now_ms_) && !at.has_change;
       const auto bound = static_cast<std::uint64_t>(limit.count());
-      if (runs_it) {
-        ++runs;
-        late_runs += sent > taken_away_ms_ + bound ? 1 : 0;
+      if (serves) {
+        ++served;
+        served_late += sent > revoked_ms_ + bound ? 1 : 0;
       }
-      constexpr std::uint64_t margin = 200;
-      const bool in_time =
-          at.best_proof_ms != 0 && now_ms_ - at.best_proof_ms + margin <= bound;
+      constexpr std::uint64_t tolerance_ms = 200;
+      const bool in_time = at.best_proof_ms != 0 &&
+                           now_ms_ - at.best_proof_ms + tolerance_ms <= bound;
       refused_with_proof += in_time && !at.proof.holds(now_ms_) ? 1 : 0;
     }
     at.requests.clear();
@@ -148,38 +147,38 @@
 
   std::mt19937 random_;
   std::uint64_t now_ms_ = 0;
-  std::uint64_t taken_away_ms_ = 0;
-  std::vector<gateway> held_;
+  std::uint64_t revoked_ms_ = 0;
+  std::vector<gateway> gateways_;
 };
 
 class configuration_proof_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(configuration_proof_test);
-  CPPUNIT_TEST(nothing_holds_before_the_first_proof);
-  CPPUNIT_TEST(proof_counts_from_the_sending_of_its_call);
-  CPPUNIT_TEST(proof_of_another_counts_from_the_question);
+  CPPUNIT_TEST(nothing_is_proven_before_the_first_response);
+  CPPUNIT_TEST(age_counts_from_the_sending_of_the_call);
+  CPPUNIT_TEST(age_of_a_peers_proof_counts_from_the_poll);
   CPPUNIT_TEST(older_proof_never_replaces_a_later_one);
-  CPPUNIT_TEST(others_are_asked_before_the_proof_ends);
-  CPPUNIT_TEST(without_a_limit_all_holds);
-  CPPUNIT_TEST(watches_wait_so_that_proofs_come_in_time);
-  CPPUNIT_TEST(no_order_of_events_runs_a_key_too_late);
+  CPPUNIT_TEST(peers_are_polled_before_the_proof_expires);
+  CPPUNIT_TEST(without_a_limit_no_proof_is_required);
+  CPPUNIT_TEST(watch_wait_is_shorter_than_the_limit);
+  CPPUNIT_TEST(no_order_of_events_serves_a_revoked_key_too_late);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void nothing_holds_before_the_first_proof() {
+  void nothing_is_proven_before_the_first_response() {
     const configuration_proof proof(limit);
     CPPUNIT_ASSERT(!proof.holds(100));
     CPPUNIT_ASSERT(proof.is_ageing(100));
     CPPUNIT_ASSERT(!proof.age(100).has_value());
   }
 
-  void proof_counts_from_the_sending_of_its_call() {
+  void age_counts_from_the_sending_of_the_call() {
     configuration_proof proof(limit);
     proof.shown(10000);
     CPPUNIT_ASSERT(proof.holds(14800));
     CPPUNIT_ASSERT(!proof.holds(15000));
   }
 
-  void proof_of_another_counts_from_the_question() {
+  void age_of_a_peers_proof_counts_from_the_poll() {
     configuration_proof proof(limit);
     proof.told(10000, milliseconds(2000));
     CPPUNIT_ASSERT(proof.holds(12800));
@@ -193,20 +192,20 @@
     CPPUNIT_ASSERT_EQUAL(1000L, static_cast<long>(proof.age(11000)->count()));
   }
 
-  void others_are_asked_before_the_proof_ends() {
+  void peers_are_polled_before_the_proof_expires() {
     configuration_proof proof(limit);
     proof.shown(10000);
     CPPUNIT_ASSERT(!proof.is_ageing(12500));
     CPPUNIT_ASSERT(proof.is_ageing(12501));
   }
 
-  void without_a_limit_all_holds() {
+  void without_a_limit_no_proof_is_required() {
     const configuration_proof proof(std::nullopt);
     CPPUNIT_ASSERT(proof.holds(1000000));
     CPPUNIT_ASSERT(!proof.is_ageing(1000000));
   }
 
-  void watches_wait_so_that_proofs_come_in_time() {
+  void watch_wait_is_shorter_than_the_limit() {
     constexpr milliseconds usual{5000};
     CPPUNIT_ASSERT_EQUAL(1000L,
                          static_cast<long>(proving_wait(limit, usual).count()));
@@ -214,19 +213,21 @@
     CPPUNIT_ASSERT(proving_wait(milliseconds(60000), usual) == usual);
   }
 
-  void no_order_of_events_runs_a_key_too_late() {
+  void no_order_of_events_serves_a_revoked_key_too_late() {
     constexpr unsigned seeds = 2000;
-    int runs = 0;
+    int served = 0;
     for (unsigned seed = 1; seed <= seeds; ++seed) {
-      world played(seed);
-      played.play();
-      runs += played.runs;
-      TRAYROCK_CHECK(played.late_runs == 0 && played.refused_with_proof == 0,
-                     "expected no late run and no refusal beside a proof, seen "
-                         << played.late_runs << " and "
-                         << played.refused_with_proof << " with seed " << seed);
+      simulation simulated(seed);
+      simulated.run();
+      served += simulated.served;
+      TRAYROCK_CHECK(
+          simulated.served_late == 0 && simulated.refused_with_proof == 0,
+          "expected none served late or refused with a proof, got "
+              << simulated.served_late << " and "
+              << simulated.refused_with_proof << " with seed " << seed);
     }
-    TRAYROCK_CHECK(runs > 10000, "expected many runs, seen " << runs);
+    TRAYROCK_CHECK(served > 10000,
+                   "expected more than 10000 served requests, got " << served);
   }
 };
 
