--- a/test/token_budget_model_test.cc
+++ b/test/token_budget_model_test.cc
@@ -1,9 +1,9 @@
-// The budget of a program over any order of events: turns side by side at
-// several gateways, retries after an unknown end, gateways that stop, record
-// stores that are away and miss records.
+// Checks that a program never exceeds its token budget by more than one turn,
+// in seeded random orders of concurrent turns, retries, stopping gateways and
+// unreachable record stores.
 //
-// The world is small and random, from a seed; what decides is the product's
-// own: the record book of each store, its quorums, and the rule of the budget.
+// The product's own code decides: the record tables of the stores, their
+// quorums and the budget (decide/token_budget.h).
 #include <algorithm>
 #include <random>
 #include <set>
@@ -17,19 +17,19 @@
 namespace trayrock::testing {
 namespace {
 
-constexpr std::uint64_t most = 10;  // tokens of one turn
-constexpr int steps_of_a_run = 400;
-constexpr std::size_t most_turns_at_once = 5;
+constexpr std::uint64_t max_tokens = 10;  // of one turn
+constexpr int steps_per_run = 400;
+constexpr std::size_t max_concurrent_turns = 5;
 
 struct faults {
-  bool stores_away = false;
-  bool gateways_stop = false;  // reservations stay open for ever
+  bool stores_unreachable = false;
+  bool gateways_stop = false;  // their reservations stay open
 };
 
-class budget_world {
+class budget_simulation {
  public:
-  budget_world(unsigned seed, std::size_t tolerated, std::uint64_t budget,
-               faults allowed)
+  budget_simulation(unsigned seed, std::size_t tolerated, std::uint64_t budget,
+                    faults allowed)
       : random_(seed),
         tolerated_(tolerated),
         budget_(budget),
@@ -37,12 +37,12 @@
     for (std::size_t i = 0; i < full_group(tolerated); ++i) {
       stores_.emplace_back([](const std::string&) { return std::nullopt; });
     }
-    away_.resize(stores_.size(), false);
+    unreachable_.resize(stores_.size(), false);
   }
 
-  // Runs to its end and returns the tokens that clients got.
-  std::uint64_t play() {
-    for (int step = 0; step < steps_of_a_run; ++step) {
+  // Returns the number of tokens that clients received.
+  std::uint64_t run() {
+    for (int step = 0; step < steps_per_run; ++step) {
       switch (random_() % 6) {
         case 0:
           begin_turn();
@@ -56,11 +56,11 @@
           end_turn();
           break;
         default:
-          strike();
+          inject_fault();
           break;
       }
     }
-    return handed_out_;
+    return delivered_;
   }
 
   int refused() const { return refused_; }
@@ -70,28 +70,28 @@
     std::string attempt;
     bool running = false;
     std::set<std::size_t> acknowledged;
-    program_usage seen;
+    program_usage usage;
   };
   struct settlement {
     records::Record record;
-    std::set<std::size_t> left;  // stores that it has not reached
+    std::set<std::size_t> pending;  // stores that it has not reached
   };
 
   void begin_turn() {
-    if (turns_.size() < most_turns_at_once) {
+    if (turns_.size() < max_concurrent_turns) {
       turns_.push_back({"a" + std::to_string(++made_), false, {}, {}});
     }
   }
 
-  // One record reaches one store, if that is there.
+  // One record reaches one store, if that is reachable.
   void deliver() {
     const std::size_t store = random_() % stores_.size();
-    if (away_[store]) {
+    if (unreachable_[store]) {
       return;
     }
     if (!settlements_.empty() && random_() % 2 == 0) {
       settlement& each = settlements_[random_() % settlements_.size()];
-      if (each.left.erase(store) > 0) {
+      if (each.pending.erase(store) > 0) {
         stores_[store].add(each.record, 0);
       }
       return;
@@ -109,20 +109,20 @@
     records::Record record;
     record.mutable_reservation()->set_program("p");
     record.mutable_reservation()->set_attempt(each.attempt);
-    record.mutable_reservation()->set_tokens(most);
+    record.mutable_reservation()->set_tokens(max_tokens);
     stores_[store].add(record, 0);
     for (const turn_usage& known : stores_[store].usage("p")) {
-      each.seen.add(known);
+      each.usage.add(known);
     }
     if (each.acknowledged.size() == write_quorum(stores_.size(), tolerated_)) {
-      judge(index);
+      decide_turn(index);
     }
   }
 
-  void judge(std::size_t index) {
+  void decide_turn(std::size_t index) {
     turn& each = turns_[index];
     const budget_verdict verdict =
-        each.seen.decide(bytes_of(id_of(each.attempt)), most, budget_);
+        each.usage.decide(bytes_of(id_of(each.attempt)), max_tokens, budget_);
     if (verdict == budget_verdict::fits) {
       each.running = true;
       return;
@@ -131,15 +131,16 @@
     settle(index, 0);
   }
 
-  // A turn that runs ends, after any part of its tokens.
+  // A running turn ends, with all or some of its tokens.
   void end_turn() {
     if (turns_.empty()) {
       return;
     }
     const std::size_t index = random_() % turns_.size();
     if (turns_[index].running) {
-      const std::uint64_t tokens = random_() % 3 == 0 ? random_() % most : most;
-      handed_out_ += tokens;
+      const std::uint64_t tokens =
+          random_() % 3 == 0 ? random_() % max_tokens : max_tokens;
+      delivered_ += tokens;
       settle(index, tokens);
     }
   }
@@ -150,25 +151,25 @@
     made.record.mutable_settlement()->set_attempt(turns_[index].attempt);
     made.record.mutable_settlement()->set_tokens(tokens);
     for (std::size_t i = 0; i < stores_.size(); ++i) {
-      made.left.insert(i);
+      made.pending.insert(i);
     }
     settlements_.push_back(std::move(made));
     turns_.erase(turns_.begin() + static_cast<std::ptrdiff_t>(index));
   }
 
-  void strike() {
-    if (allowed_.stores_away) {
-      std::fill(away_.begin(), away_.end(), false);
+  void inject_fault() {
+    if (allowed_.stores_unreachable) {
+      std::fill(unreachable_.begin(), unreachable_.end(), false);
       for (std::size_t i = 0; i < tolerated_; ++i) {
-        away_[random_() % away_.size()] = true;
+        unreachable_[random_() % unreachable_.size()] = true;
       }
     }
     if (allowed_.gateways_stop && random_() % 8 == 0) {
       for (const turn& each : turns_) {
-        handed_out_ += each.running ? most : 0;
+        delivered_ += each.running ? max_tokens : 0;
       }
       turns_.clear();
-      settlements_.clear();  // those that are still on their way are lost
+      settlements_.clear();  // the pending ones are lost
     }
   }
 
@@ -177,47 +178,52 @@
   std::uint64_t budget_;
   faults allowed_;
   std::vector<record_book> stores_;
-  std::vector<bool> away_;
+  std::vector<bool> unreachable_;
   std::vector<turn> turns_;
   std::vector<settlement> settlements_;
   int made_ = 0;
   int refused_ = 0;
-  std::uint64_t handed_out_ = 0;
+  std::uint64_t delivered_ = 0;
 };
 
 class token_budget_model_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(token_budget_model_test);
-  CPPUNIT_TEST(budget_and_one_turn_is_the_most_with_one_loss);
-  CPPUNIT_TEST(budget_and_one_turn_is_the_most_with_two_losses);
-  CPPUNIT_TEST(proper_program_is_not_refused);
+  CPPUNIT_TEST(usage_exceeds_the_budget_by_one_turn_at_most_with_one_loss);
+  CPPUNIT_TEST(usage_exceeds_the_budget_by_one_turn_at_most_with_two_losses);
+  CPPUNIT_TEST(program_within_its_budget_is_not_refused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void budget_and_one_turn_is_the_most_with_one_loss() { play_all(1); }
-  void budget_and_one_turn_is_the_most_with_two_losses() { play_all(2); }
+  void usage_exceeds_the_budget_by_one_turn_at_most_with_one_loss() {
+    run_all(1);
+  }
+  void usage_exceeds_the_budget_by_one_turn_at_most_with_two_losses() {
+    run_all(2);
+  }
 
-  // A budget that holds all turns at their most refuses none of them.
-  void proper_program_is_not_refused() {
+  // A budget for the maximum of all turns refuses none of them.
+  void program_within_its_budget_is_not_refused() {
     for (unsigned seed = 1; seed <= runs; ++seed) {
-      budget_world world(seed, 1, most * steps_of_a_run, {true, true});
-      world.play();
-      TRAYROCK_CHECK(world.refused() == 0,
-                     "seed " << seed << ": " << world.refused());
+      budget_simulation simulation(seed, 1, max_tokens * steps_per_run,
+                                   {true, true});
+      simulation.run();
+      TRAYROCK_CHECK(simulation.refused() == 0,
+                     "seed " << seed << ": " << simulation.refused());
     }
   }
 
  private:
   static constexpr unsigned runs = 2000;
 
-  static void play_all(std::size_t tolerated) {
+  static void run_all(std::size_t tolerated) {
     for (unsigned seed = 1; seed <= runs; ++seed) {
-      const std::uint64_t budget = most * (2 + seed % 7);
+      const std::uint64_t budget = max_tokens * (2 + seed % 7);
       const faults allowed{seed % 2 == 0, seed % 3 == 0};
-      const std::uint64_t got =
-          budget_world(seed, tolerated, budget, allowed).play();
-      TRAYROCK_CHECK(got <= budget + most, "seed " << seed << ": budget "
-                                                   << budget << ", got "
-                                                   << got);
+      const std::uint64_t delivered =
+          budget_simulation(seed, tolerated, budget, allowed).run();
+      TRAYROCK_CHECK(delivered <= budget + max_tokens,
+                     "seed " << seed << ": budget " << budget << ", delivered "
+                             << delivered);
     }
   }
 };
