--- a/test/store_membership_test.cc
+++ b/test/store_membership_test.cc
@@ -1,4 +1,4 @@
-// What a record store does next about its place in the group.
+// How a record store joins, leaves or stays out of its group's voters.
 #include "trayrock/internal/decide/store_membership.h"
 
 #include "test_support.h"
@@ -16,7 +16,7 @@
   return made;
 }
 
-// Three voters a, b, c that all answer and count, seen by a spare store d.
+// The view of a spare store d of three voters a, b, c that reply and count.
 membership_view spare_view() {
   membership_view view;
   view.self = store_of("d", "4");
@@ -30,33 +30,33 @@
 }
 
 template <typename action>
-bool is(const membership_action& seen) {
-  return std::holds_alternative<action>(seen);
+bool is(const membership_action& chosen) {
+  return std::holds_alternative<action>(chosen);
 }
 
 class store_membership_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(store_membership_test);
-  CPPUNIT_TEST(spare_store_waits_while_all_voters_live);
-  CPPUNIT_TEST(lost_disk_is_replaced_at_once_and_silence_after_a_while);
-  CPPUNIT_TEST(store_that_has_not_read_enough_does_not_vote);
-  CPPUNIT_TEST(as_many_stores_learn_as_places_are_open);
-  CPPUNIT_TEST(learners_stay_ready_behind_a_change_of_voters);
+  CPPUNIT_TEST(spare_store_does_nothing_while_all_voters_reply);
+  CPPUNIT_TEST(voter_is_replaced_at_once_without_its_disk_and_later_if_silent);
+  CPPUNIT_TEST(learner_that_has_not_read_enough_does_not_become_a_voter);
+  CPPUNIT_TEST(learners_are_bounded_by_vacancies);
+  CPPUNIT_TEST(learners_stay_ready_after_a_change_of_voters);
   CPPUNIT_TEST(one_change_at_a_time);
   CPPUNIT_TEST(retiring_voter_leaves_only_if_enough_remain);
-  CPPUNIT_TEST(learner_that_is_gone_keeps_no_spare_waiting);
-  CPPUNIT_TEST(learner_whose_disk_was_lost_keeps_no_spare_waiting);
-  CPPUNIT_TEST(former_learner_at_the_own_address_keeps_no_spare_waiting);
-  CPPUNIT_TEST(learners_that_are_gone_leave_the_list);
+  CPPUNIT_TEST(silent_learner_does_not_block_a_spare);
+  CPPUNIT_TEST(learner_without_its_disk_does_not_block_a_spare);
+  CPPUNIT_TEST(former_learner_at_the_own_address_does_not_block_a_spare);
+  CPPUNIT_TEST(lost_learners_are_removed_from_the_group);
   CPPUNIT_TEST(retiring_voter_waits_longer_while_a_successor_learns);
-  CPPUNIT_TEST(what_was_read_in_an_older_epoch_does_not_make_a_voter);
+  CPPUNIT_TEST(reads_in_an_older_epoch_do_not_count);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void spare_store_waits_while_all_voters_live() {
+  void spare_store_does_nothing_while_all_voters_reply() {
     CPPUNIT_ASSERT(is<do_nothing>(next_membership_action(spare_view())));
   }
 
-  void lost_disk_is_replaced_at_once_and_silence_after_a_while() {
+  void voter_is_replaced_at_once_without_its_disk_and_later_if_silent() {
     membership_view view = spare_view();
     view.peers["a"].id_at_address = "another";
     CPPUNIT_ASSERT(is<become_learner>(next_membership_action(view)));
@@ -74,7 +74,7 @@
         std::get<take_place>(next_membership_action(view)).leaving);
   }
 
-  void store_that_has_not_read_enough_does_not_vote() {
+  void learner_that_has_not_read_enough_does_not_become_a_voter() {
     membership_view view = spare_view();
     *view.group.add_learners() = view.self;
     view.peers["a"].silent_ms = 5000;
@@ -85,9 +85,8 @@
     CPPUNIT_ASSERT(is<do_nothing>(next_membership_action(view)));
   }
 
-  // Four spare stores read the same
-  // voters at once, and none was done for thirteen seconds.
-  void as_many_stores_learn_as_places_are_open() {
+  // Too many concurrent learners slow each other down.
+  void learners_are_bounded_by_vacancies() {
     membership_view view = spare_view();
     view.peers["a"].id_at_address = "another";
     CPPUNIT_ASSERT(is<become_learner>(next_membership_action(view)));
@@ -99,9 +98,9 @@
     CPPUNIT_ASSERT(is<become_learner>(next_membership_action(view)));
   }
 
-  // Reading all records takes seconds; a store that has done so takes the next
-  // place at once.
-  void learners_stay_ready_behind_a_change_of_voters() {
+  // Reading all records takes seconds; a store that has done so can fill the
+  // next vacancy at once.
+  void learners_stay_ready_after_a_change_of_voters() {
     records::Group group = spare_view().group;
     *group.add_learners() = store_of("d", "4");
     *group.add_learners() = store_of("e", "5");
@@ -131,10 +130,8 @@
     CPPUNIT_ASSERT(is<do_nothing>(next_membership_action(view)));
   }
 
-  // A store whose disk was lost and one
-  // that had retired were still listed as learners, so that the only spare
-  // waited ten seconds while no turn could be served.
-  void learner_that_is_gone_keeps_no_spare_waiting() {
+  // The group may still list learners that were lost or retired.
+  void silent_learner_does_not_block_a_spare() {
     membership_view view = spare_view();
     view.peers["a"].id_at_address = "another";
     *view.group.add_learners() = store_of("e", "5");
@@ -142,7 +139,7 @@
     CPPUNIT_ASSERT(is<become_learner>(next_membership_action(view)));
   }
 
-  void learner_whose_disk_was_lost_keeps_no_spare_waiting() {
+  void learner_without_its_disk_does_not_block_a_spare() {
     membership_view view = spare_view();
     view.peers["a"].id_at_address = "another";
     *view.group.add_learners() = store_of("e", "5");
@@ -150,14 +147,14 @@
     CPPUNIT_ASSERT(is<become_learner>(next_membership_action(view)));
   }
 
-  void former_learner_at_the_own_address_keeps_no_spare_waiting() {
+  void former_learner_at_the_own_address_does_not_block_a_spare() {
     membership_view view = spare_view();
     view.peers["a"].id_at_address = "another";
     *view.group.add_learners() = store_of("e", view.self.address());
     CPPUNIT_ASSERT(is<become_learner>(next_membership_action(view)));
   }
 
-  void learners_that_are_gone_leave_the_list() {
+  void lost_learners_are_removed_from_the_group() {
     membership_view view = spare_view();
     view.peers["a"].id_at_address = "another";
     *view.group.add_learners() = store_of("e", "5");
@@ -170,7 +167,7 @@
     CPPUNIT_ASSERT(is_learner(next, "d"));
   }
 
-  // A group that shrinks bears no loss until it has grown again.
+  // A smaller group tolerates no loss until it has grown again.
   void retiring_voter_waits_longer_while_a_successor_learns() {
     membership_view view = spare_view();
     view.self = store_of("a", "a");
@@ -187,9 +184,8 @@
     CPPUNIT_ASSERT(is<leave_group>(next_membership_action(view)));
   }
 
-  // Found by the model of the group's rules, seed 1444: a group that changes
-  // between two rounds of a store.
-  void what_was_read_in_an_older_epoch_does_not_make_a_voter() {
+  // The group may change between two rounds of a store.
+  void reads_in_an_older_epoch_do_not_count() {
     records::StoreState own;
     own.set_id("d");
     records::Group group =
@@ -198,11 +194,11 @@
     store_peers peers;
     peers.follow(own, 1000);
     for (const char* id : {"b", "c"}) {
-      records::FenceReply fenced;
-      fenced.set_store(id);
-      fenced.set_counts(true);
-      fenced.set_epoch(group.epoch());
-      peers.fence_answered(id, fenced, group.epoch());
+      records::FenceReply reply;
+      reply.set_store(id);
+      reply.set_counts(true);
+      reply.set_epoch(group.epoch());
+      peers.fence_answered(id, reply, group.epoch());
       peers.pull_began(id);
       peers.read(id, true);
     }
