--- a/test/store_group_world.cc
+++ b/test/store_group_world.cc
@@ -8,29 +8,29 @@
 namespace trayrock::testing::store_group {
 namespace {
 
-constexpr std::size_t most_open_writes = 3;
+constexpr std::size_t max_pending_writes = 3;
 constexpr std::uint64_t step_ms = 50;
 
 }  // namespace
 
-world::world(std::uint64_t seed, int boxes, std::uint32_t tolerated,
-             left_out rule)
-    : random_(seed), rule_(rule) {
-  std::vector<records::Store> announced;
+simulation::simulation(std::uint64_t seed, int boxes, std::uint32_t tolerated,
+                       omitted_rule omitted)
+    : random_(seed), omitted_(omitted) {
+  std::vector<records::Store> stores;
   for (int i = 0; i < boxes; ++i) {
     add_box();
-    announced.push_back(boxes_.back().life->self);
+    stores.push_back(boxes_.back().current->self);
   }
-  group_ = first_group(announced, tolerated);
+  group_ = first_group(stores, tolerated);
   known_groups_.push_back(group_);
   for (box& each : boxes_) {
-    store& held = *each.life;
-    adopt_group(held.state, group_);
-    held.state.set_counts(is_voter(group_, held.self.id()));
+    store& member = *each.current;
+    adopt_group(member.state, group_);
+    member.state.set_counts(is_voter(group_, member.self.id()));
   }
 }
 
-void world::step() {
+void simulation::step() {
   now_ms_ += step_ms;
   switch (random_() % 12) {
     case 0:
@@ -48,75 +48,76 @@
       run_store();
       break;
     case 8:
-      tell_of_group();
+      send_group();
       break;
     case 9:
-      reach_platform();
+      deliver_proposal();
       break;
     case 10:
-      deny_some_record();
+      read_random_record();
       break;
     default:
-      inject();
+      inject_fault();
   }
 }
 
-void world::add_box() {
+void simulation::add_box() {
   box made;
   made.name = "box-" + std::to_string(boxes_made_++);
   boxes_.push_back(std::move(made));
   replace_disk(boxes_.back());
 }
 
-void world::replace_disk(box& at) {
-  if (rule_ == left_out::store_names && at.life != nullptr) {
-    at.life->held.clear();
+void simulation::replace_disk(box& at) {
+  if (omitted_ == omitted_rule::store_ids && at.current != nullptr) {
+    at.current->stored.clear();
     return;
   }
-  at.life = std::make_shared<store>();
-  at.life->self.set_id("store-" + std::to_string(stores_made_++));
-  at.life->self.set_address(at.name);
-  at.life->self.set_box(at.name);
-  at.life->state.set_id(at.life->self.id());
+  at.current = std::make_shared<store>();
+  at.current->self.set_id("store-" + std::to_string(stores_made_++));
+  at.current->self.set_address(at.name);
+  at.current->self.set_box(at.name);
+  at.current->state.set_id(at.current->self.id());
 }
 
-box* world::box_at(const std::string& address) {
+box* simulation::box_at(const std::string& address) {
   for (box& each : boxes_) {
-    if (each.name == address && each.life != nullptr && !each.frozen) {
+    if (each.name == address && each.current != nullptr && !each.paused) {
       return &each;
     }
   }
   return nullptr;
 }
 
-box* world::some_box() {
+box* simulation::random_box() {
   box& picked = boxes_[random_() % boxes_.size()];
-  return picked.life == nullptr || picked.frozen ? nullptr : &picked;
+  return picked.current == nullptr || picked.paused ? nullptr : &picked;
 }
 
 // ---- Writes and reads -------------------------------------------------------
 
-const records::Group& world::some_known_group() {
+const records::Group& simulation::random_known_group() {
   const std::size_t recent = std::min<std::size_t>(known_groups_.size(), 3);
   return known_groups_[known_groups_.size() - 1 - random_() % recent];
 }
 
-void world::begin_write() {
-  if (writes_.size() < most_open_writes) {
-    writes_.push_back({records_made_++, some_known_group(), {}, {}});
+void simulation::begin_write() {
+  if (writes_.size() < max_pending_writes) {
+    writes_.push_back({records_made_++, random_known_group(), {}, {}});
   }
 }
 
-records::Outcome world::judge(const store& at, const std::string& meant,
-                              const records::Group& group) const {
+records::Outcome simulation::evaluate_write(const store& at,
+                                            const std::string& id,
+                                            const records::Group& group) const {
   records::WriteRequest request;
-  request.set_store(meant);
+  request.set_store(id);
   request.set_epoch(group.epoch());
   request.set_shrunk_epoch(group.shrunk_epoch());
   return judge_write(at.state, request);
 }
 
-void world::deliver_write() {
+void simulation::deliver_write() {
   if (writes_.empty()) {
     return;
   }
@@ -128,22 +129,23 @@
   if (at == nullptr) {
     return;
   }
-  store& reached = *at->life;
-  const records::Outcome outcome = judge(reached, voter.id(), write.group);
+  store& reached = *at->current;
+  const records::Outcome outcome =
+      evaluate_write(reached, voter.id(), write.group);
   if (reached.state.group().epoch() > write.group.epoch()) {
     write = {write.record, reached.state.group(), {}, {}};
     return;
   }
   if (outcome == records::OUTCOME_CATCHING_UP) {
-    reached.held.insert(write.record);
+    reached.stored.insert(write.record);
     return;
   }
   if (outcome != records::OUTCOME_OK) {
     return;
   }
-  reached.held.insert(write.record);
+  reached.stored.insert(write.record);
   write.acknowledged.insert(voter.id());
-  write.seen.insert(reached.held.begin(), reached.held.end());
+  write.visible.insert(reached.stored.begin(), reached.stored.end());
   const auto voters = static_cast<std::size_t>(write.group.voters_size());
   if (write.acknowledged.size() >=
       write_quorum(voters, write.group.tolerated())) {
@@ -152,62 +154,63 @@
   }
 }
 
-void world::acknowledge(const write_operation& write) {
-  for (const auto& [other, other_saw] : seen_by_) {
-    if (!write.seen.contains(other) && !other_saw.contains(write.record)) {
-      fault_ = "reservations " + std::to_string(other) + " and " +
-               std::to_string(write.record) + " did not see each other";
+void simulation::acknowledge(const write_operation& write) {
+  for (const auto& [other, other_visible] : visible_records_) {
+    if (!write.visible.contains(other) &&
+        !other_visible.contains(write.record)) {
+      violation_ = "reservations " + std::to_string(other) + " and " +
+                   std::to_string(write.record) + " did not see each other";
     }
   }
-  seen_by_[write.record] = write.seen;
+  visible_records_[write.record] = write.visible;
 }
 
-void world::deny_some_record() {
-  if (seen_by_.empty()) {
+void simulation::read_random_record() {
+  if (visible_records_.empty()) {
     return;
   }
-  auto picked = seen_by_.begin();
-  std::advance(picked, random_() % seen_by_.size());
-  const records::Group group = some_known_group();
+  auto picked = visible_records_.begin();
+  std::advance(picked, random_() % visible_records_.size());
+  const records::Group group = random_known_group();
   std::size_t denials = 0;
   for (const records::Store& each : group.voters()) {
     const box* const at = box_at(each.address());
     if (at == nullptr) {
       continue;
     }
-    const store& asked = *at->life;
-    if (asked.state.group().epoch() > group.epoch()) {
-      return;  // the gateway begins anew with the newer group
+    const store& queried = *at->current;
+    if (queried.state.group().epoch() > group.epoch()) {
+      return;  // the gateway restarts the read with the newer group
     }
-    if (judge(asked, each.id(), group) == records::OUTCOME_OK &&
-        !asked.held.contains(picked->first)) {
+    if (evaluate_write(queried, each.id(), group) == records::OUTCOME_OK &&
+        !queried.stored.contains(picked->first)) {
       ++denials;
     }
   }
   const std::size_t needed =
-      rule_ == left_out::two_denials
+      omitted_ == omitted_rule::two_denials
           ? 1
           : read_quorum(static_cast<std::size_t>(group.voters_size()),
                         group.tolerated());
   if (denials >= needed) {
-    fault_ = "record " + std::to_string(picked->first) + " denied in epoch " +
-             std::to_string(group.epoch());
+    violation_ = "record " + std::to_string(picked->first) +
+                 " denied in epoch " + std::to_string(group.epoch());
   }
 }
 
 // ---- Stores -----------------------------------------------------------------
 
-void world::run_store() {
-  const box* const at = some_box();
+void simulation::run_store() {
+  const box* const at = random_box();
   if (at == nullptr) {
     return;
   }
-  store& self = *at->life;
+  store& self = *at->current;
   if (self.state.group().voters().empty()) {
     return;
   }
   self.peers.follow(self.state, now_ms_);
-  pull_some_peer(self);
+  pull_random_peer(self);
   const bool voter = is_voter(self.state.group(), self.state.id());
   if (voter && !self.state.counts()) {
     join(self);
@@ -217,7 +220,7 @@
              next_membership_action(view_of(self)));
 }
 
-void world::pull_some_peer(store& self) {
+void simulation::pull_random_peer(store& self) {
   if (self.peers.all().empty()) {
     return;
   }
@@ -226,18 +229,18 @@
   pull(self, picked->second.store);
 }
 
-void world::pull(store& self, const records::Store& from) {
+void simulation::pull(store& self, const records::Store& from) {
   const box* const at = box_at(from.address());
   if (at == nullptr) {
     return;
   }
-  const store& other = *at->life;
+  const store& other = *at->current;
   self.peers.pull_began(from.id());
-  records::PullReply answer;
-  answer.set_store(other.state.id());
-  answer.set_counts(other.state.counts());
-  answer.set_epoch(other.state.group().epoch());
-  const bool same = self.peers.answered(from.id(), answer, now_ms_);
+  records::PullReply reply;
+  reply.set_store(other.state.id());
+  reply.set_counts(other.state.counts());
+  reply.set_epoch(other.state.group().epoch());
+  const bool same = self.peers.answered(from.id(), reply, now_ms_);
   if (!same) {
     return;
   }
@@ -248,12 +251,12 @@
   const bool reads = is_learner(group, self.state.id()) ||
                      (is_voter(group, self.state.id()) && !self.state.counts());
   if (reads) {
-    self.held.insert(other.held.begin(), other.held.end());
+    self.stored.insert(other.stored.begin(), other.stored.end());
     self.peers.read(from.id(), true);
   }
 }
 
-void world::join(store& self) {
+void simulation::join(store& self) {
   const records::Group group = self.state.group();
   const std::uint64_t epoch = group.epoch();
   for (const records::Store& each : group.previous_voters()) {
@@ -262,15 +265,15 @@
     if (peer == nullptr || peer->fenced || at == nullptr || !chance(60)) {
       continue;
     }
-    store& other = *at->life;
-    records::FenceReply answer = answer_fence(other.state, epoch);
-    if (rule_ != left_out::fence) {
+    store& other = *at->current;
+    records::FenceReply reply = answer_fence(other.state, epoch);
+    if (omitted_ != omitted_rule::fence) {
       adopt_group(other.state, group);
-      answer = answer_fence(other.state, epoch);
+      reply = answer_fence(other.state, epoch);
     } else {
-      answer.set_epoch(epoch);
+      reply.set_epoch(epoch);
     }
-    if (self.peers.fence_answered(each.id(), answer, epoch) && chance(50)) {
+    if (self.peers.fence_answered(each.id(), reply, epoch) && chance(50)) {
       pull(self, each);
     }
   }
@@ -279,8 +282,8 @@
   }
 }
 
-bool world::has_joined(const store& self) const {
-  if (rule_ != left_out::last_read) {
+bool simulation::has_joined(const store& self) const {
+  if (omitted_ != omitted_rule::last_read) {
     return self.peers.joined(self.state);
   }
   const records::Group& group = self.state.group();
@@ -294,7 +297,7 @@
                      group.tolerated());
 }
 
-membership_view world::view_of(store& self) const {
+membership_view simulation::view_of(store& self) const {
   membership_view made;
   made.self = self.self;
   made.group = self.state.group();
@@ -303,28 +306,28 @@
   made.retiring_ms =
       retiring_.contains(self.self.box()) ? now_ms_ - retiring_since_ms_ : 0;
   if (!has_open_place(made)) {
-    self.place_open_since_ms = now_ms_;
+    self.vacancy_since_ms = now_ms_;
   }
-  made.place_open_ms = now_ms_ - self.place_open_since_ms;
+  made.place_open_ms = now_ms_ - self.vacancy_since_ms;
   return made;
 }
 
-void world::act(store& self, const become_learner& learning) {
+void simulation::act(store& self, const become_learner& learning) {
   propose(self, with_learner(self.state.group(), self.self, learning.gone));
 }
 
-void world::act(store& self, const take_place& place) {
+void simulation::act(store& self, const take_place& place) {
   propose(self, with_voter(self.state.group(), self.self, place.leaving));
 }
 
-void world::act(store& self, const leave_group&) {
+void simulation::act(store& self, const leave_group&) {
   propose(self, without_voter(self.state.group(), self.self.id()));
 }
 
-void world::act(store& self, const finish_retirement&) {
+void simulation::act(store& self, const finish_retirement&) {
   for (box& each : boxes_) {
     if (each.name == self.self.box() && chance(30)) {
-      each.life = nullptr;
+      each.current = nullptr;
       retiring_.erase(each.name);
       return;
     }
@@ -333,7 +336,7 @@
 
 // ---- The platform -----------------------------------------------------------
 
-void world::propose(const store& self, const records::Group& next) {
+void simulation::propose(const store& self, const records::Group& next) {
   const bool current =
       self.state.group().SerializeAsString() == group_.SerializeAsString();
   if (proposals_.size() < 3) {
@@ -341,8 +344,8 @@
   }
 }
 
-void world::reach_platform() {
-  if (proposals_.empty() || platform_out_) {
+void simulation::deliver_proposal() {
+  if (proposals_.empty() || platform_down_) {
     return;
   }
   const std::size_t index = random_() % proposals_.size();
@@ -356,60 +359,60 @@
   known_groups_.push_back(group_);
 }
 
-void world::tell_of_group() {
-  const box* const at = some_box();
-  if (at != nullptr && !platform_out_) {
-    adopt_group(at->life->state, group_);
+void simulation::send_group() {
+  const box* const at = random_box();
+  if (at != nullptr && !platform_down_) {
+    adopt_group(at->current->state, group_);
   }
 }
 
 // ---- Faults -----------------------------------------------------------------
 
-bool world::whole() {
+bool simulation::is_group_complete() {
   if (static_cast<std::size_t>(group_.voters_size()) <
       full_group(group_.tolerated())) {
     return false;
   }
   for (const records::Store& each : group_.voters()) {
     const box* const at = box_at(each.address());
-    if (at == nullptr || at->life->state.id() != each.id() ||
-        !at->life->state.counts() ||
-        at->life->state.group().epoch() != group_.epoch()) {
+    if (at == nullptr || at->current->state.id() != each.id() ||
+        !at->current->state.counts() ||
+        at->current->state.group().epoch() != group_.epoch()) {
       return false;
     }
   }
   return true;
 }
 
-void world::inject() {
-  const bool is_whole = whole();
-  lost_ = lost_ && !is_whole;
+void simulation::inject_fault() {
+  const bool is_complete = is_group_complete();
+  has_loss_ = has_loss_ && !is_complete;
   switch (random_() % 8) {
     case 0:
-      platform_out_ = chance(30);
+      platform_down_ = chance(30);
       break;
     case 1:
       for (box& each : boxes_) {
-        each.frozen = false;
+        each.paused = false;
       }
       break;
     case 2:
-      if (!lost_ && !platform_out_) {
-        lose_one(false);
+      if (!has_loss_ && !platform_down_) {
+        lose_store(false);
       }
       break;
     case 3:
-      if (!lost_ && chance(30)) {
-        lose_power(!platform_out_ && chance(50));
+      if (!has_loss_ && chance(30)) {
+        lose_power(!platform_down_ && chance(50));
       }
       break;
     case 4:
-      if (retiring_.empty() && is_whole) {
+      if (retiring_.empty() && is_complete) {
         retire();
       }
       break;
     case 5:
-      if (living_boxes() < 4) {
+      if (count_boxes() < 4) {
         add_box();
       }
       break;
@@ -418,39 +421,39 @@
   }
 }
 
-std::size_t world::living_boxes() const {
+std::size_t simulation::count_boxes() const {
   return static_cast<std::size_t>(
       std::count_if(boxes_.begin(), boxes_.end(),
-                    [](const box& each) { return each.life != nullptr; }));
+                    [](const box& each) { return each.current != nullptr; }));
 }
 
-void world::lose_one(bool disk) {
-  box* const at = some_box();
+void simulation::lose_store(bool disk) {
+  box* const at = random_box();
   if (at == nullptr) {
     return;
   }
-  lost_ = true;
+  has_loss_ = true;
   if (disk || chance(60)) {
     replace_disk(*at);
   } else {
-    at->frozen = true;
+    at->paused = true;
   }
 }
 
-void world::lose_power(bool with_a_disk) {
+void simulation::lose_power(bool with_a_disk) {
   writes_.clear();
   for (box& each : boxes_) {
-    if (each.life != nullptr) {
-      each.life->peers = store_peers();
+    if (each.current != nullptr) {
+      each.current->peers = store_peers();
     }
   }
   if (with_a_disk) {
-    lose_one(true);
+    lose_store(true);
   }
 }
 
-void world::retire() {
-  const box* const at = some_box();
+void simulation::retire() {
+  const box* const at = random_box();
   if (at != nullptr) {
     retiring_.insert(at->name);
     retiring_since_ms_ = now_ms_;
--- a/test/store_group_world.h
+++ b/test/store_group_world.h
@@ -1,13 +1,12 @@
-// A small world of boxes with record stores, a platform, and gateways, which
-// runs the real decision code of the stores' group. What happens next is drawn
-// from a seed: writes that arrive late; proposals that race, or whose answers
-// are lost; stores that lose their disks, freeze, are retired, or lose power
-// together; a platform that is out.
+// Simulates boxes with record stores, a platform and gateways around the real
+// decision code of the stores' group. Each step is drawn from a seed: delayed
+// writes; competing proposals and lost responses; stores that lose their disks,
+// pause, are retired, or lose power together; an outage of the platform.
 //
 // Example:
-//   world held(seed, 4, 1, left_out::nothing);
-//   for (int i = 0; i < 700 && held.fault().empty(); ++i) {
-//     held.step();
+//   simulation run(seed, 4, 1, omitted_rule::none);
+//   for (int i = 0; i < 700 && run.violation().empty(); ++i) {
+//     run.step();
 //   }
 #pragma once
 
@@ -25,37 +24,37 @@
 
 namespace trayrock::testing::store_group {
 
-// Rules that can be left out.
-enum class left_out {
-  nothing,
-  fence,        // a new voter counts without telling the others of its epoch
-  last_read,    // it counts without reading them once more behind that
-  store_names,  // a box whose disk was lost goes on under its former name
-  two_denials,  // one voter suffices to say that a record is not there
+// A rule of the protocol that a run omits.
+enum class omitted_rule {
+  none,
+  fence,        // a new voter counts without sending its epoch to the others
+  last_read,    // a new voter counts without reading the others after the fence
+  store_ids,    // a store keeps its id after the loss of its disk
+  two_denials,  // a single voter may deny a record
 };
 
 using record_set = std::set<int>;
 
-// One life of a disk, and the process on it.
+// A store process with its disk. Replaced when the disk is lost.
 struct store {
   records::Store self;
   records::StoreState state;
-  record_set held;
+  record_set stored;
   store_peers peers;
-  std::uint64_t place_open_since_ms = 0;
+  std::uint64_t vacancy_since_ms = 0;
 };
 
 struct box {
   std::string name;
-  std::shared_ptr<store> life;  // nullptr: taken away
-  bool frozen = false;
+  std::shared_ptr<store> current;  // nullptr: the box is removed
+  bool paused = false;
 };
 
 struct write_operation {
   int record = 0;
   records::Group group;
   std::set<std::string> acknowledged;
-  record_set seen;
+  record_set visible;  // at the stores that acknowledged it
 };
 
 // A change of the group that may still reach the platform.
@@ -64,18 +63,19 @@
   std::uint64_t base = 0;  // revision that it replaces
 };
 
-class world {
+class simulation {
  public:
-  // `boxes` stores, one a box, found a group that bears `tolerated` losses.
-  world(std::uint64_t seed, int boxes, std::uint32_t tolerated, left_out rule);
+  // A group of `boxes` stores, one per box, that tolerates `tolerated` losses.
+  simulation(std::uint64_t seed, int boxes, std::uint32_t tolerated,
+             omitted_rule omitted);
 
-  // What the seed draws next.
+  // Takes the next random step.
   void step();
 
-  // What was broken; empty if nothing.
-  const std::string& fault() const { return fault_; }
+  // The violated invariant; empty: none.
+  const std::string& violation() const { return violation_; }
 
-  // Of the group, so far.
+  // The number of changes of the group.
   std::uint64_t changes() const { return group_.epoch() - 1; }
 
  private:
@@ -83,23 +83,23 @@
   void add_box();
   void replace_disk(box& at);
   box* box_at(const std::string& address);
-  box* some_box();
+  box* random_box();
 
   // ---- Writes and reads ----------------------------------------------------
-  // Gateways may know of an older group only.
-  const records::Group& some_known_group();
+  // Gateways may have an older group.
+  const records::Group& random_known_group();
   void begin_write();
-  records::Outcome judge(const store& at, const std::string& meant,
-                         const records::Group& group) const;
+  records::Outcome evaluate_write(const store& at, const std::string& id,
+                                  const records::Group& group) const;
   void deliver_write();
   void acknowledge(const write_operation& write);
-  // A gateway asks for an acknowledged record; voters answer in any order.
-  void deny_some_record();
+  // A gateway reads an acknowledged record, which must not be denied.
+  void read_random_record();
 
   // ---- Stores --------------------------------------------------------------
   // One round of a store's membership driver.
   void run_store();
-  void pull_some_peer(store& self);
+  void pull_random_peer(store& self);
   void pull(store& self, const records::Store& from);
   void join(store& self);
   bool has_joined(const store& self) const;
@@ -108,43 +108,43 @@
   void act(store& self, const become_learner& learning);
   void act(store& self, const take_place& place);
   void act(store& self, const leave_group&);
-  // The box goes with its disk, which is not a loss.
+  // Removes the box with its disk, which does not count as a loss.
   void act(store& self, const finish_retirement&);
 
   // ---- The platform --------------------------------------------------------
-  // A store proposes on top of the revision that it knows: its epoch and
-  // learners.
+  // A store proposes a change of the group that it has.
   void propose(const store& self, const records::Group& next);
-  void reach_platform();
-  void tell_of_group();
+  void deliver_proposal();
+  void send_group();
 
   // ---- Faults --------------------------------------------------------------
-  bool whole();
-  void inject();
-  std::size_t living_boxes() const;
-  void lose_one(bool disk);
-  // What only processes know is gone: calls under way, and what has been read.
+  // All voters are present and count.
+  bool is_group_complete();
+  void inject_fault();
+  std::size_t count_boxes() const;
+  void lose_store(bool disk);
+  // All processes lose their memory: pending calls, and what has been read.
   void lose_power(bool with_a_disk);
   void retire();
 
   std::mt19937_64 random_;
-  left_out rule_;
+  omitted_rule omitted_;
   std::uint64_t now_ms_ = 100000;
   std::deque<box> boxes_;
   int boxes_made_ = 0;
   int stores_made_ = 0;
-  records::Group group_;  // as the platform holds it
+  records::Group group_;  // as stored by the platform
   std::uint64_t revision_ = 1;
-  bool platform_out_ = false;
+  bool platform_down_ = false;
   std::vector<proposal> proposals_;
   std::vector<records::Group> known_groups_;
   std::vector<write_operation> writes_;
   int records_made_ = 0;
-  std::map<int, record_set> seen_by_;  // of acknowledged records
-  bool lost_ = false;
+  std::map<int, record_set> visible_records_;  // by acknowledged record
+  bool has_loss_ = false;
   std::set<std::string> retiring_;
   std::uint64_t retiring_since_ms_ = 0;
-  std::string fault_;
+  std::string violation_;
 };
 
 }  // namespace trayrock::testing::store_group
