--- a/include/trayrock/internal/decide/configuration_proof.h
+++ b/include/trayrock/internal/decide/configuration_proof.h
@@ -39,18 +39,18 @@
 
   // The platform responded to a call that was sent at this time with the
   // current configuration or an earlier one.
-  void shown(std::uint64_t sent_ms);
+  void on_platform_response(std::uint64_t sent_ms);
 
   // A gateway that was polled at this time, and has no later configuration,
   // reported the age of its proof.
-  void told(std::uint64_t polled_ms, std::chrono::milliseconds age);
+  void on_peer_reply(std::uint64_t polled_ms, std::chrono::milliseconds age);
 
   // Whether requests that require a key may be served.
-  bool holds(std::uint64_t now_ms) const;
+  bool is_valid(std::uint64_t now_ms) const;
 
   // Whether other gateways should be polled for a later proof, since the
   // platform has given none for half of the limit.
-  bool is_ageing(std::uint64_t now_ms) const;
+  bool needs_refresh(std::uint64_t now_ms) const;
 
   // Empty if there has been no proof yet.
   std::optional<std::chrono::milliseconds> age(std::uint64_t now_ms) const;
@@ -63,7 +63,7 @@
 // The maximum wait of a watch for configurations. A response proves only the
 // state at the time at which the watch was sent, so a wait has to be shorter
 // than the limit.
-std::chrono::milliseconds proving_wait(
+std::chrono::milliseconds max_watch_wait(
     std::optional<std::chrono::milliseconds> limit,
     std::chrono::milliseconds default_wait);
 
--- a/include/trayrock/internal/decide/permit_book.h
+++ b/include/trayrock/internal/decide/permit_limiter.h
@@ -8,7 +8,7 @@
 //
 // Only half of the tolerance that the operator allows for distributed counting
 // is issued. The rest covers permits whose records a power failure destroys
-// (see most_unsynced()) and the delay between a permit and its request.
+// (see max_unsynced()) and the delay between a permit and its request.
 //
 // Permits issued before a restart are restored from disk, and count as if they
 // were issued at the start. A store that replaces another can't know what that
@@ -20,7 +20,7 @@
 // No I/O; times are of a steady clock.
 //
 // Example:
-//   permit_book book(terms);
+//   permit_limiter book(terms);
 //   book.begin({"store-1", "store-2", "store-3"}, "store-2");
 //   const permit_verdict verdict =
 //       book.acquire("growers", limit, permit_use::goes_on, now);
@@ -59,7 +59,7 @@
                                  const limit_terms& terms);
 
 enum class permit_use {
-  goes_on,        // continues a program, or belongs to none
+  regular,        // continues a program, or belongs to none
   starts_program  // the first request of a program
 };
 
@@ -94,9 +94,9 @@
   std::uint64_t newest_ = 0;
 };
 
-class permit_book {
+class permit_limiter {
  public:
-  explicit permit_book(const limit_terms& terms) : terms_(terms) {}
+  explicit permit_limiter(const limit_terms& terms) : terms_(terms) {}
 
   // Sets the stores that share the limits at the start: those stored on disk,
   // or the first ones of a new group. A store that is not among them issues
@@ -125,7 +125,7 @@
 
   // The number of permits of a workspace that may be issued before they are on
   // disk. A power failure loses at most that many.
-  std::uint64_t most_unsynced(std::string_view workspace) const;
+  std::uint64_t max_unsynced(std::string_view workspace) const;
 
   // Removes workspaces without permits in the last window and returns their
   // names.
--- a/include/trayrock/internal/decide/store_membership.h
+++ b/include/trayrock/internal/decide/store_membership.h
@@ -43,21 +43,22 @@
   records::Group group;
   std::map<std::string, peer_view> peers;  // by the id in the group
   std::set<std::string> retiring_boxes;
-  bool retirement_told = false;   // a peer reports that this box is to retire
+  bool peer_reported_retirement =
+      false;                      // a peer reports that this box is to retire
   std::uint64_t retiring_ms = 0;  // since this box was to retire; 0: it is not
   bool change_pending = false;    // a change of the group is in progress
   // Learners keep learning, in order to fill the next vacancy.
   bool keeps_learners_ready = true;
-  std::uint64_t place_open_ms = 0;  // time since the vacancy; 0: there is none
+  std::uint64_t vacancy_ms = 0;  // time since the vacancy; 0: there is none
 };
 
 struct do_nothing {};
 // Gateways then copy writes to this store, and no longer to lost learners.
 struct become_learner {
-  std::vector<std::string> gone;  // ids
+  std::vector<std::string> lost_learners;  // ids
 };
-struct take_place {
-  std::string leaving;  // the voter to replace; empty: one is missing
+struct become_voter {
+  std::string replaced;  // the voter to replace; empty: one is missing
   std::string_view cause;
 };
 // Leave the group, which is smaller afterwards.
@@ -65,7 +66,7 @@
 // The data of this box is no longer needed.
 struct finish_retirement {};
 
-using membership_action = std::variant<do_nothing, become_learner, take_place,
+using membership_action = std::variant<do_nothing, become_learner, become_voter,
                                        leave_group, finish_retirement>;
 
 // Whether the store has to watch the platform for changes of the group. A spare
@@ -74,7 +75,7 @@
 bool needs_platform(const membership_view& view);
 
 // Whether a voter has to be replaced, or one is missing.
-bool has_open_place(const membership_view& view);
+bool has_vacancy(const membership_view& view);
 
 membership_action next_membership_action(const membership_view& view);
 
--- a/include/trayrock/internal/decide/store_peers.h
+++ b/include/trayrock/internal/decide/store_peers.h
@@ -12,7 +12,7 @@
 // Example:
 //   store_peers peers;
 //   peers.follow(state, now);
-//   peers.pull_began("store-2");
+//   peers.on_pull_started("store-2");
 //   if (peers.answered("store-2", reply, now)) {
 //     peers.read("store-2", true);
 //   }
@@ -31,10 +31,10 @@
 struct store_peer {
   records::Store store;
   bool learner = false;  // polled for liveness only
-  std::uint64_t first_asked_ms = 0;
-  std::uint64_t answered_ms = 0;  // 0: never
-  std::string id_at_address;      // store that replies there; empty: none yet
-  bool counts = false;            // as a voter of the current epoch
+  std::uint64_t first_polled_ms = 0;
+  std::uint64_t last_reply_ms = 0;  // 0: never
+  std::string id_at_address;        // store that replies there; empty: none yet
+  bool counts = false;              // as a voter of the current epoch
   bool read_to_end = false;  // the last pull reached the end of its records
   bool fenced = false;       // for the current epoch
 
@@ -48,18 +48,18 @@
   // the previous epoch, and its learners.
   void follow(const records::StoreState& own, std::uint64_t now_ms);
 
-  void pull_began(const std::string& id);
+  void on_pull_started(const std::string& id);
 
   // Returns false if the store is no longer a peer, or if another store replied
   // at its address.
-  bool answered(const std::string& id, const records::PullReply& reply,
-                std::uint64_t now_ms);
+  bool on_pull_reply(const std::string& id, const records::PullReply& reply,
+                     std::uint64_t now_ms);
 
   // The records of the last pull are on this store's disk.
-  void read(const std::string& id, bool to_end);
+  void on_records_stored(const std::string& id, bool to_end);
 
   // Handles the reply to a fence for `epoch`. True if the peer is fenced now.
-  bool fence_answered(const std::string& id, const records::FenceReply& reply,
+  bool on_fence_reply(const std::string& id, const records::FenceReply& reply,
                       std::uint64_t epoch);
 
   // The number of previous voters that have been read after their fence,
@@ -67,7 +67,7 @@
   std::size_t read_since_fence(const records::StoreState& own) const;
 
   // Whether this voter, which does not count yet, may do so.
-  bool joined(const records::StoreState& own) const;
+  bool has_joined(const records::StoreState& own) const;
 
   const store_peer* find(const std::string& id) const;
   const std::map<std::string, store_peer>& all() const { return peers_; }
--- a/include/trayrock/internal/decide/watch_roles.h
+++ b/include/trayrock/internal/decide/watch_roles.h
@@ -12,7 +12,7 @@
 // Example:
 //   watch_roles roles("gateway-1", "north", sharing);
 //   const watch_step step = roles.next(peers, now);
-//   if (const auto* ask = std::get_if<ask_watcher>(&step)) poll(ask->address);
+//   if (const auto* ask = std::get_if<poll_watcher>(&step)) poll(ask->address);
 //   roles.heard(address);            // it watches and has replied
 //   roles.unusable(address, now);    // no reply, or it does not watch
 #pragma once
@@ -25,22 +25,22 @@
 #include <variant>
 #include <vector>
 
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 
 namespace trayrock {
 
 // Poll this gateway.
-struct ask_watcher {
+struct poll_watcher {
   std::string address;  // A.B.C.D:PORT
 };
 // Watch the platform: other gateways rely on it, or no watcher is available.
 struct watch_platform {};
-using watch_step = std::variant<ask_watcher, watch_platform>;
+using watch_step = std::variant<poll_watcher, watch_platform>;
 
 // No peer can be polled yet; only for a gateway that has just started.
 struct wait_for_peers {};
 using first_watch_step =
-    std::variant<ask_watcher, watch_platform, wait_for_peers>;
+    std::variant<poll_watcher, watch_platform, wait_for_peers>;
 
 // Whether a few gateways of each data centre watch, or all do.
 struct few_watch {
@@ -57,21 +57,21 @@
               watch_sharing sharing);
 
   // The next step; call it before each poll.
-  watch_step next(std::span<const relay_peer> peers, std::uint64_t now_ms);
+  watch_step next_step(std::span<const relay_peer> peers, std::uint64_t now_ms);
 
   // The next step of a gateway that has no data yet. `listed`: this gateway has
   // appeared in a complete list of the gateways, which then has those that
   // started with it, too. Until then it doesn't count itself as a watcher, or
   // else all gateways that start together would read everything from the
   // platform; after a bounded wait it does so anyway.
-  first_watch_step first(std::span<const relay_peer> peers, bool listed,
-                         std::chrono::milliseconds since_start,
-                         std::uint64_t now_ms);
+  first_watch_step initial_step(std::span<const relay_peer> peers, bool listed,
+                                std::chrono::milliseconds since_start,
+                                std::uint64_t now_ms);
 
   // The peer to poll concurrently with an unfinished call to the platform,
   // since a peer may have data that the platform does not return.
-  first_watch_step beside_platform(std::span<const relay_peer> peers,
-                                   std::uint64_t now_ms);
+  first_watch_step peer_step(std::span<const relay_peer> peers,
+                             std::uint64_t now_ms);
 
   bool is_watcher(std::span<const relay_peer> peers,
                   std::uint64_t now_ms) const;
@@ -81,10 +81,10 @@
                                     std::uint64_t now_ms) const;
 
   // The polled gateway watches, and has replied.
-  void heard(const std::string& address);
+  void on_reply(const std::string& address);
 
   // The polled gateway did not reply, or does not watch.
-  void unusable(const std::string& address, std::uint64_t now_ms);
+  void on_failure(const std::string& address, std::uint64_t now_ms);
 
  private:
   struct peer_backoff {
--- a/src/decide/configuration_proof.cc
+++ b/src/decide/configuration_proof.cc
@@ -19,18 +19,19 @@
 
 }  // namespace
 
-void configuration_proof::shown(std::uint64_t sent_ms) {
+void configuration_proof::on_platform_response(std::uint64_t sent_ms) {
   proven_at_ms_ = std::max(proven_at_ms_.value_or(0), sent_ms);
 }
 
-void configuration_proof::told(std::uint64_t polled_ms, milliseconds age) {
+void configuration_proof::on_peer_reply(std::uint64_t polled_ms,
+                                        milliseconds age) {
   const auto age_ms = static_cast<std::uint64_t>(age.count());
   if (age_ms < polled_ms) {
-    shown(polled_ms - age_ms);
+    on_platform_response(polled_ms - age_ms);
   }
 }
 
-bool configuration_proof::holds(std::uint64_t now_ms) const {
+bool configuration_proof::is_valid(std::uint64_t now_ms) const {
   if (!limit_) {
     return true;
   }
@@ -38,7 +39,7 @@
   return current && *current + scheduling_margin <= *limit_;
 }
 
-bool configuration_proof::is_ageing(std::uint64_t now_ms) const {
+bool configuration_proof::needs_refresh(std::uint64_t now_ms) const {
   if (!limit_) {
     return false;
   }
@@ -54,8 +55,8 @@
   return milliseconds(now_ms - std::min(*proven_at_ms_, now_ms));
 }
 
-milliseconds proving_wait(std::optional<milliseconds> limit,
-                          milliseconds default_wait) {
+milliseconds max_watch_wait(std::optional<milliseconds> limit,
+                            milliseconds default_wait) {
   return limit ? std::min(default_wait, *limit / watch_wait_divisor)
                : default_wait;
 }
--- a/src/decide/permit_book.cc
+++ b/src/decide/permit_limiter.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/permit_book.h"
+#include "trayrock/internal/decide/permit_limiter.h"
 
 #include <xxhash.h>
 
@@ -93,24 +93,24 @@
 
 // ---- All workspaces --------------------------------------------------------
 
-std::uint64_t permit_book::slot_ms() const {
+std::uint64_t permit_limiter::slot_ms() const {
   return std::max<std::uint64_t>(
       static_cast<std::uint64_t>(terms_.window.count()) / permit_window::slots,
       1);
 }
 
 // The first slots of the clock are reserved for permits issued before it began.
-std::uint64_t permit_book::slot_of(std::uint64_t now_ms) const {
+std::uint64_t permit_limiter::slot_of(std::uint64_t now_ms) const {
   return now_ms / slot_ms() + permit_window::slots + 1;
 }
 
 // The end of a window and of the slot in which it begins.
-std::uint64_t permit_book::window_end_ms(std::uint64_t now_ms) const {
+std::uint64_t permit_limiter::window_end_ms(std::uint64_t now_ms) const {
   return now_ms + static_cast<std::uint64_t>(terms_.window.count()) + slot_ms();
 }
 
-void permit_book::begin(std::vector<std::string> stores,
-                        const std::string& own) {
+void permit_limiter::begin(std::vector<std::string> stores,
+                           const std::string& own) {
   std::sort(stores.begin(), stores.end());
   const auto found = std::find(stores.begin(), stores.end(), own);
   split_ = found == stores.end()
@@ -119,9 +119,9 @@
                              static_cast<std::size_t>(found - stores.begin())};
 }
 
-void permit_book::restore(std::string_view workspace,
-                          std::vector<std::uint32_t> counts,
-                          std::uint64_t now_ms) {
+void permit_limiter::restore(std::string_view workspace,
+                             std::vector<std::uint32_t> counts,
+                             std::uint64_t now_ms) {
   permit_window& window = workspaces_[std::string(workspace)].window;
   // A log may hold several versions of a workspace; the last one counts.
   window = permit_window();
@@ -132,8 +132,8 @@
   }
 }
 
-void permit_book::set_stores(std::vector<std::string> stores,
-                             const std::string& own, std::uint64_t now_ms) {
+void permit_limiter::set_stores(std::vector<std::string> stores,
+                                const std::string& own, std::uint64_t now_ms) {
   std::erase_if(former_, [now_ms](const former_split& each) {
     return each.until_ms <= now_ms;
   });
@@ -148,18 +148,18 @@
 
 // Permits that the stores do not divide evenly go to stores in an order that
 // depends on the workspace.
-std::uint64_t permit_book::share_in(std::uint64_t limit,
-                                    std::string_view workspace,
-                                    const store_split& split) {
+std::uint64_t permit_limiter::share_in(std::uint64_t limit,
+                                       std::string_view workspace,
+                                       const store_split& split) {
   const std::uint64_t position =
       (split.index + XXH3_64bits(workspace.data(), workspace.size())) %
       split.stores;
   return limit / split.stores + (position < limit % split.stores ? 1 : 0);
 }
 
-std::uint64_t permit_book::share_of(std::string_view workspace,
-                                    const request_limit& limit,
-                                    std::uint64_t now_ms) const {
+std::uint64_t permit_limiter::share_of(std::string_view workspace,
+                                       const request_limit& limit,
+                                       std::uint64_t now_ms) const {
   const std::uint64_t all = requests_in_window(limit, terms_);
   std::uint64_t share = share_in(all, workspace, split_);
   for (const former_split& each : former_) {
@@ -170,9 +170,9 @@
   return share;
 }
 
-permit_verdict permit_book::acquire(std::string_view workspace,
-                                    const request_limit& limit, permit_use use,
-                                    std::uint64_t now_ms) {
+permit_verdict permit_limiter::acquire(std::string_view workspace,
+                                       const request_limit& limit,
+                                       permit_use use, std::uint64_t now_ms) {
   if (split_.stores == 0 || now_ms < closed_until_ms_) {
     const std::uint64_t wait_ms =
         now_ms < closed_until_ms_ ? closed_until_ms_ - now_ms : slot_ms();
@@ -203,22 +203,22 @@
   return permit_refused{milliseconds(next_ms)};
 }
 
-void permit_book::give_back(std::string_view workspace, std::uint64_t slot) {
+void permit_limiter::give_back(std::string_view workspace, std::uint64_t slot) {
   const auto found = workspaces_.find(workspace);
   if (found != workspaces_.end()) {
     found->second.window.remove(slot);
   }
 }
 
-std::vector<std::uint32_t> permit_book::counts(std::string_view workspace,
-                                               std::uint64_t now_ms) {
+std::vector<std::uint32_t> permit_limiter::counts(std::string_view workspace,
+                                                  std::uint64_t now_ms) {
   const auto found = workspaces_.find(workspace);
   return found == workspaces_.end()
              ? std::vector<std::uint32_t>()
              : found->second.window.counts(slot_of(now_ms));
 }
 
-std::uint64_t permit_book::most_unsynced(std::string_view workspace) const {
+std::uint64_t permit_limiter::max_unsynced(std::string_view workspace) const {
   const auto found = workspaces_.find(workspace);
   if (found == workspaces_.end() || split_.stores == 0) {
     return 1;
@@ -229,7 +229,7 @@
   return 1 + static_cast<std::uint64_t>(share * unsynced_share);
 }
 
-std::vector<std::string> permit_book::drop_unused(std::uint64_t now_ms) {
+std::vector<std::string> permit_limiter::drop_unused(std::uint64_t now_ms) {
   std::vector<std::string> dropped;
   const std::uint64_t now = slot_of(now_ms);
   for (auto each = workspaces_.begin(); each != workspaces_.end();) {
--- a/src/decide/store_membership.cc
+++ b/src/decide/store_membership.cc
@@ -109,8 +109,8 @@
 }
 
 // In order of urgency.
-std::vector<take_place> find_vacancies(const membership_view& view) {
-  std::vector<take_place> vacancies;
+std::vector<become_voter> find_vacancies(const membership_view& view) {
+  std::vector<become_voter> vacancies;
   for (const std::string_view cause : urgency) {
     for (const records::Store& each : view.group.voters()) {
       if (replacement_cause(view, each) == cause) {
@@ -161,7 +161,7 @@
       view.keeps_learners_ready ? view.group.tolerated() : 0);
   const std::size_t wanted = std::max(vacancies, ready);
   return learners >= wanted &&
-         view.place_open_ms < time_per_learner_ms * (1 + learners - wanted);
+         view.vacancy_ms < time_per_learner_ms * (1 + learners - wanted);
 }
 
 membership_action next_for_voter(const membership_view& view) {
@@ -180,7 +180,7 @@
 
 // For a store that is neither a voter nor to be retired.
 membership_action next_for_spare(const membership_view& view) {
-  const std::vector<take_place> vacancies = find_vacancies(view);
+  const std::vector<become_voter> vacancies = find_vacancies(view);
   if (vacancies.empty()) {
     return do_nothing{};  // a spare store has no work until it is needed
   }
@@ -197,16 +197,16 @@
 
 }  // namespace
 
-bool has_open_place(const membership_view& view) {
+bool has_vacancy(const membership_view& view) {
   return !find_vacancies(view).empty();
 }
 
 bool needs_platform(const membership_view& view) {
   const bool is_member = is_voter(view.group, view.self.id()) ||
                          is_learner(view.group, view.self.id());
-  const bool is_retiring =
-      view.retirement_told || view.retiring_boxes.contains(view.self.box());
-  if (is_member || is_retiring || has_open_place(view)) {
+  const bool is_retiring = view.peer_reported_retirement ||
+                           view.retiring_boxes.contains(view.self.box());
+  if (is_member || is_retiring || has_vacancy(view)) {
     return true;
   }
   return std::none_of(view.group.voters().begin(), view.group.voters().end(),
--- a/src/decide/store_peers.cc
+++ b/src/decide/store_peers.cc
@@ -46,29 +46,29 @@
 void store_peers::follow_store(const records::Store& store, bool is_voting,
                                std::uint64_t now_ms) {
   store_peer& peer = peers_[store.id()];
-  if (peer.first_asked_ms == 0) {
-    peer.first_asked_ms = now_ms;
+  if (peer.first_polled_ms == 0) {
+    peer.first_polled_ms = now_ms;
   }
   peer.store = store;
   peer.learner = !is_voting;
 }
 
-void store_peers::pull_began(const std::string& id) {
+void store_peers::on_pull_started(const std::string& id) {
   const auto found = peers_.find(id);
   if (found != peers_.end()) {
     found->second.fenced_at_pull_start = found->second.fenced;
   }
 }
 
-bool store_peers::answered(const std::string& id,
-                           const records::PullReply& reply,
-                           std::uint64_t now_ms) {
+bool store_peers::on_pull_reply(const std::string& id,
+                                const records::PullReply& reply,
+                                std::uint64_t now_ms) {
   const auto found = peers_.find(id);
   if (found == peers_.end()) {
     return false;
   }
   store_peer& peer = found->second;
-  peer.answered_ms = now_ms;
+  peer.last_reply_ms = now_ms;
   peer.id_at_address = reply.store();
   const bool same = reply.store() == id;
   peer.counts = same && reply.counts() && reply.epoch() == epoch_;
@@ -76,7 +76,7 @@
   return same;
 }
 
-void store_peers::read(const std::string& id, bool to_end) {
+void store_peers::on_records_stored(const std::string& id, bool to_end) {
   const auto found = peers_.find(id);
   if (found == peers_.end()) {
     return;
@@ -88,7 +88,7 @@
   }
 }
 
-bool store_peers::fence_answered(const std::string& id,
+bool store_peers::on_fence_reply(const std::string& id,
                                  const records::FenceReply& reply,
                                  std::uint64_t epoch) {
   const auto found = peers_.find(id);
@@ -115,7 +115,7 @@
   return peers + (self ? 1 : 0);
 }
 
-bool store_peers::joined(const records::StoreState& own) const {
+bool store_peers::has_joined(const records::StoreState& own) const {
   const records::Group& group = own.group();
   if (group.epoch() != epoch_) {
     return false;  // the reads belong to an older epoch
@@ -135,7 +135,7 @@
   std::map<std::string, peer_view> made;
   for (const auto& [id, each] : peers_) {
     const std::uint64_t last_contact_ms =
-        std::max(each.answered_ms, each.first_asked_ms);
+        std::max(each.last_reply_ms, each.first_polled_ms);
     made[id] = {now_ms - last_contact_ms, each.read_to_end, each.counts,
                 each.id_at_address};
   }
--- a/src/decide/watch_roles.cc
+++ b/src/decide/watch_roles.cc
@@ -103,31 +103,30 @@
   return found;
 }
 
-first_watch_step watch_roles::first(std::span<const relay_peer> peers,
-                                    bool listed,
-                                    std::chrono::milliseconds since_start,
-                                    std::uint64_t now_ms) {
+first_watch_step watch_roles::initial_step(
+    std::span<const relay_peer> peers, bool listed,
+    std::chrono::milliseconds since_start, std::uint64_t now_ms) {
   const bool without_peers = std::holds_alternative<all_watch>(sharing_) ||
                              platform_until_ms_ > now_ms ||
                              since_start >= initial_peer_wait;
   if (without_peers || (listed && is_watcher(peers, now_ms))) {
     return watch_platform{};
   }
-  return beside_platform(peers, now_ms);
+  return peer_step(peers, now_ms);
 }
 
-first_watch_step watch_roles::beside_platform(std::span<const relay_peer> peers,
-                                              std::uint64_t now_ms) {
+first_watch_step watch_roles::peer_step(std::span<const relay_peer> peers,
+                                        std::uint64_t now_ms) {
   ++rotation_;
   const std::vector<std::string> found = candidates(peers, now_ms);
   if (found.empty()) {
     return wait_for_peers{};
   }
-  return ask_watcher{found.front()};
+  return poll_watcher{found.front()};
 }
 
-watch_step watch_roles::next(std::span<const relay_peer> peers,
-                             std::uint64_t now_ms) {
+watch_step watch_roles::next_step(std::span<const relay_peer> peers,
+                                  std::uint64_t now_ms) {
   if (is_watcher(peers, now_ms)) {
     consecutive_failures_ = 0;
     return watch_platform{};
@@ -140,7 +139,7 @@
   if (found.empty()) {
     return watch_platform{};
   }
-  return ask_watcher{found.front()};
+  return poll_watcher{found.front()};
 }
 
 std::vector<std::string> watch_roles::watchers(
@@ -166,13 +165,13 @@
   return found;
 }
 
-void watch_roles::heard(const std::string& address) {
+void watch_roles::on_reply(const std::string& address) {
   backoffs_.erase(address);
   consecutive_failures_ = 0;
   platform_until_ms_ = 0;
 }
 
-void watch_roles::unusable(const std::string& address, std::uint64_t now_ms) {
+void watch_roles::on_failure(const std::string& address, std::uint64_t now_ms) {
   peer_backoff& backoff = backoffs_[address];
   const std::uint32_t doublings =
       std::min(backoff.consecutive_failures, max_doublings);
--- a/test/permit_book_test.cc
+++ b/test/permit_limiter_test.cc
@@ -1,6 +1,6 @@
 // One store's share of a workspace's limit, and the selection of the store from
 // which a gateway requests a permit.
-#include "trayrock/internal/decide/permit_book.h"
+#include "trayrock/internal/decide/permit_limiter.h"
 
 #include "test_support.h"
 #include "trayrock/internal/decide/permit_sources.h"
@@ -20,9 +20,9 @@
 }
 
 // Acquires all available permits and returns their number.
-int acquire_all(permit_book& from, std::uint64_t now_ms,
+int acquire_all(permit_limiter& from, std::uint64_t now_ms,
                 const request_limit& limit = limit_of_60,
-                permit_use use = permit_use::goes_on) {
+                permit_use use = permit_use::regular) {
   int count = 0;
   while (given(from.acquire("growers", limit, use, now_ms))) {
     ++count;
@@ -30,9 +30,9 @@
   return count;
 }
 
-permit_book book_of(const std::string& own,
-                    const limit_terms& terms = plain_terms) {
-  permit_book made(terms);
+permit_limiter book_of(const std::string& own,
+                       const limit_terms& terms = plain_terms) {
+  permit_limiter made(terms);
   made.begin(three_stores, own);
   return made;
 }
@@ -63,7 +63,7 @@
   void shares_add_up_to_the_limit() {
     int sum = 0;
     for (const std::string& each : three_stores) {
-      permit_book book = book_of(each);
+      permit_limiter book = book_of(each);
       sum += acquire_all(book, 1000, {10, 11, 1});
     }
     CPPUNIT_ASSERT_EQUAL(61, sum);
@@ -76,11 +76,11 @@
   }
 
   void no_sliding_window_exceeds_the_share() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     std::vector<std::uint64_t> times;
     for (std::uint64_t now = 0; now < 30000; now += 7) {
       if (given(
-              book.acquire("growers", limit_of_60, permit_use::goes_on, now))) {
+              book.acquire("growers", limit_of_60, permit_use::regular, now))) {
         times.push_back(now);
       }
     }
@@ -95,30 +95,30 @@
   }
 
   void refusal_returns_the_wait_for_the_next_permit() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     acquire_all(book, 1000);
     const permit_verdict verdict =
-        book.acquire("growers", limit_of_60, permit_use::goes_on, 2000);
+        book.acquire("growers", limit_of_60, permit_use::regular, 2000);
     const auto next = static_cast<std::uint64_t>(
         std::get<permit_refused>(verdict).next.count());
 
     CPPUNIT_ASSERT(!given(book.acquire("growers", limit_of_60,
-                                       permit_use::goes_on, 2000 + next - 1)));
+                                       permit_use::regular, 2000 + next - 1)));
     CPPUNIT_ASSERT(given(book.acquire("growers", limit_of_60,
-                                      permit_use::goes_on, 2000 + next)));
+                                      permit_use::regular, 2000 + next)));
   }
 
   void starting_programs_leave_a_quarter() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     CPPUNIT_ASSERT_EQUAL(
         15, acquire_all(book, 1000, limit_of_60, permit_use::starts_program));
     CPPUNIT_ASSERT_EQUAL(5, acquire_all(book, 1000));
   }
 
   void unused_permit_is_issued_again() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     const permit_verdict first =
-        book.acquire("growers", limit_of_60, permit_use::goes_on, 1000);
+        book.acquire("growers", limit_of_60, permit_use::regular, 1000);
     acquire_all(book, 1300);
     book.give_back("growers", std::get<permit_given>(first).slot);
 
@@ -126,9 +126,9 @@
   }
 
   void permit_of_an_expired_window_is_not_returned() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     const permit_verdict first =
-        book.acquire("growers", limit_of_60, permit_use::goes_on, 1000);
+        book.acquire("growers", limit_of_60, permit_use::regular, 1000);
     acquire_all(book, 9000);
     book.give_back("growers", std::get<permit_given>(first).slot);
 
@@ -136,23 +136,23 @@
   }
 
   void lower_limit_applies_at_once_and_an_outdated_one_never() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     CPPUNIT_ASSERT_EQUAL(10, acquire_all(book, 1000, {5, 5, 2}));
     CPPUNIT_ASSERT_EQUAL(0, acquire_all(book, 1000, {50, 50, 1}));
     CPPUNIT_ASSERT_EQUAL(10, acquire_all(book, 1000, {10, 10, 3}));
   }
 
   void workspaces_have_separate_limits() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     acquire_all(book, 1000);
     CPPUNIT_ASSERT(
-        given(book.acquire("buyers", limit_of_60, permit_use::goes_on, 1000)));
+        given(book.acquire("buyers", limit_of_60, permit_use::regular, 1000)));
   }
 
   void restart_keeps_the_permits_issued_before() {
-    permit_book before = book_of("store-1");
+    permit_limiter before = book_of("store-1");
     acquire_all(before, 4000);
-    permit_book after(plain_terms);
+    permit_limiter after(plain_terms);
     after.begin(three_stores, "store-1");
     after.restore("growers", before.counts("growers", 4000), 100);
 
@@ -162,7 +162,7 @@
   }
 
   void joining_store_issues_nothing_for_a_window() {
-    permit_book book(plain_terms);
+    permit_limiter book(plain_terms);
     book.begin({}, "store-1");
     book.set_stores(three_stores, "store-1", 1000);
 
@@ -171,7 +171,7 @@
   }
 
   void shares_grow_one_window_after_a_store_has_left() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     book.set_stores({"store-1", "store-2"}, "store-1", 1000);
 
     CPPUNIT_ASSERT_EQUAL(20, acquire_all(book, 1000));
@@ -188,7 +188,7 @@
         std::vector<std::string> after{added};
         int issued = 0;
         for (const std::string& each : three_stores) {
-          permit_book book = book_of(each);
+          permit_limiter book = book_of(each);
           issued += acquire_all(book, 1000, eight);
         }
         for (const std::string& each : three_stores) {
@@ -200,7 +200,7 @@
           if (each == removed) {
             continue;
           }
-          permit_book book = book_of(each);
+          permit_limiter book = book_of(each);
           acquire_all(book, 1000, eight);
           book.set_stores(after, each, 1500);
           issued += acquire_all(book, 1600, eight);
@@ -213,7 +213,7 @@
   }
 
   void store_outside_the_group_issues_nothing() {
-    permit_book book = book_of("store-1");
+    permit_limiter book = book_of("store-1");
     book.set_stores({"store-2", "store-3"}, "store-1", 1000);
     CPPUNIT_ASSERT_EQUAL(0, acquire_all(book, 9000));
   }
@@ -221,7 +221,7 @@
   void limit_of_one_request_is_issued_by_one_store() {
     int sum = 0;
     for (const std::string& each : three_stores) {
-      permit_book book = book_of(each);
+      permit_limiter book = book_of(each);
       sum += acquire_all(book, 1000, {0.2, 0, 1});
     }
     CPPUNIT_ASSERT_EQUAL(1, sum);
@@ -230,45 +230,45 @@
   void store_of_the_same_data_centre_is_tried_first() {
     permit_sources sources = sources_of_three();
     const permit_source next =
-        sources.next("growers", permit_use::goes_on, {}, 1000);
+        sources.next("growers", permit_use::regular, {}, 1000);
     CPPUNIT_ASSERT_EQUAL(std::string("store-2"),
-                         std::get<ask_store>(next).store);
+                         std::get<try_store>(next).store);
   }
 
   void store_that_refused_is_skipped_until_its_next_permit() {
     permit_sources sources = sources_of_three();
     for (const std::string& each : three_stores) {
-      sources.refused("growers", permit_use::goes_on, each,
-                      milliseconds(each == "store-3" ? 250 : 500), 1000);
+      sources.on_refusal("growers", permit_use::regular, each,
+                         milliseconds(each == "store-3" ? 250 : 500), 1000);
     }
     const permit_source none =
-        sources.next("growers", permit_use::goes_on, {}, 1000);
+        sources.next("growers", permit_use::regular, {}, 1000);
     const permit_source later =
-        sources.next("growers", permit_use::goes_on, {}, 1250);
+        sources.next("growers", permit_use::regular, {}, 1250);
     const permit_source other =
-        sources.next("buyers", permit_use::goes_on, {}, 1000);
+        sources.next("buyers", permit_use::regular, {}, 1000);
 
     CPPUNIT_ASSERT(std::get<limit_reached>(none).next == milliseconds(250));
     CPPUNIT_ASSERT_EQUAL(std::string("store-3"),
-                         std::get<ask_store>(later).store);
-    CPPUNIT_ASSERT(std::holds_alternative<ask_store>(other));
+                         std::get<try_store>(later).store);
+    CPPUNIT_ASSERT(std::holds_alternative<try_store>(other));
   }
 
   void unresponsive_store_is_tried_last() {
     permit_sources sources = sources_of_three();
-    sources.silent("store-2", 1000);
+    sources.on_failure("store-2", 1000);
     const permit_source first =
-        sources.next("growers", permit_use::goes_on, {}, 1000);
-    const permit_source last = sources.next("growers", permit_use::goes_on,
+        sources.next("growers", permit_use::regular, {}, 1000);
+    const permit_source last = sources.next("growers", permit_use::regular,
                                             {"store-1", "store-3"}, 1000);
     const permit_source none =
-        sources.next("growers", permit_use::goes_on,
+        sources.next("growers", permit_use::regular,
                      {"store-1", "store-2", "store-3"}, 1000);
 
-    CPPUNIT_ASSERT(std::get<ask_store>(first).store != "store-2");
+    CPPUNIT_ASSERT(std::get<try_store>(first).store != "store-2");
     CPPUNIT_ASSERT_EQUAL(std::string("store-2"),
-                         std::get<ask_store>(last).store);
-    CPPUNIT_ASSERT(std::holds_alternative<no_store_answers>(none));
+                         std::get<try_store>(last).store);
+    CPPUNIT_ASSERT(std::holds_alternative<no_store_available>(none));
   }
 
  private:
--- a/test/permit_load_test.cc
+++ b/test/permit_load_test.cc
@@ -9,7 +9,7 @@
 //
 //   own_share     each gateway counts a twentieth of the limit by itself
 //   one_counter   one process counts for all; its successor starts from zero
-//   store_shares  five stores issue a share each (decide/permit_book.h)
+//   store_shares  five stores issue a share each (decide/permit_limiter.h)
 #include <algorithm>
 #include <array>
 #include <deque>
@@ -18,7 +18,7 @@
 #include <set>
 
 #include "test_support.h"
-#include "trayrock/internal/decide/permit_book.h"
+#include "trayrock/internal/decide/permit_limiter.h"
 #include "trayrock/internal/decide/permit_sources.h"
 
 namespace trayrock::testing {
@@ -107,8 +107,8 @@
     std::set<std::string> tried;
     for (;;) {
       const permit_source next =
-          sources_[gateway].next(workspace, permit_use::goes_on, tried, now_ms);
-      const auto* ask = std::get_if<ask_store>(&next);
+          sources_[gateway].next(workspace, permit_use::regular, tried, now_ms);
+      const auto* ask = std::get_if<try_store>(&next);
       if (ask == nullptr) {
         return false;
       }
@@ -116,12 +116,13 @@
       const auto at = static_cast<std::size_t>(
           std::find(names_.begin(), names_.end(), ask->store) - names_.begin());
       const permit_verdict verdict =
-          books_[at].acquire(workspace, limit, permit_use::goes_on, now_ms);
+          books_[at].acquire(workspace, limit, permit_use::regular, now_ms);
       if (std::holds_alternative<permit_given>(verdict)) {
         return true;
       }
-      sources_[gateway].refused(workspace, permit_use::goes_on, ask->store,
-                                std::get<permit_refused>(verdict).next, now_ms);
+      sources_[gateway].on_refusal(workspace, permit_use::regular, ask->store,
+                                   std::get<permit_refused>(verdict).next,
+                                   now_ms);
     }
   }
 
@@ -130,7 +131,7 @@
   // The new store has an empty disk and another name.
   void replace_one(std::uint64_t now_ms) {
     names_[1] = "store-new";
-    books_[1] = permit_book(terms);
+    books_[1] = permit_limiter(terms);
     for (int i = 0; i < store_count; ++i) {
       books_[i].set_stores(names_, names_[i], now_ms);
     }
@@ -142,7 +143,7 @@
   // Loses the permits that are not on disk yet.
   void lose_power(std::uint64_t now_ms) {
     for (std::size_t i = 0; i < store_count; ++i) {
-      restart(i, now_ms, books_[i].most_unsynced(workspace));
+      restart(i, now_ms, books_[i].max_unsynced(workspace));
     }
   }
 
@@ -153,8 +154,8 @@
     return "dc-" + std::to_string(number % 3);
   }
 
-  std::vector<permit_store_place> locations() const {
-    std::vector<permit_store_place> made(store_count);
+  std::vector<permit_store_location> locations() const {
+    std::vector<permit_store_location> made(store_count);
     for (int i = 0; i < store_count; ++i) {
       made[i] = {names_[i], data_centre_of(i)};
     }
@@ -168,13 +169,13 @@
       each -= static_cast<std::uint32_t>(removed);
       lost -= removed;
     }
-    books_[which] = permit_book(terms);
+    books_[which] = permit_limiter(terms);
     books_[which].begin(names_, names_[which]);
     books_[which].restore(workspace, counts, now_ms);
   }
 
   std::vector<std::string> names_;
-  std::vector<permit_book> books_;
+  std::vector<permit_limiter> books_;
   std::vector<permit_sources> sources_;
 };
 
--- a/test/store_group_world.cc
+++ b/test/store_group_world.cc
@@ -235,12 +235,12 @@
     return;
   }
   const store& other = *at->current;
-  self.peers.pull_began(from.id());
+  self.peers.on_pull_started(from.id());
   records::PullReply reply;
   reply.set_store(other.state.id());
   reply.set_counts(other.state.counts());
   reply.set_epoch(other.state.group().epoch());
-  const bool same = self.peers.answered(from.id(), reply, now_ms_);
+  const bool same = self.peers.on_pull_reply(from.id(), reply, now_ms_);
   if (!same) {
     return;
   }
@@ -252,7 +252,7 @@
                      (is_voter(group, self.state.id()) && !self.state.counts());
   if (reads) {
     self.stored.insert(other.stored.begin(), other.stored.end());
-    self.peers.read(from.id(), true);
+    self.peers.on_records_stored(from.id(), true);
   }
 }
 
@@ -273,7 +273,7 @@
     } else {
       reply.set_epoch(epoch);
     }
-    if (self.peers.fence_answered(each.id(), reply, epoch) && chance(50)) {
+    if (self.peers.on_fence_reply(each.id(), reply, epoch) && chance(50)) {
       pull(self, each);
     }
   }
@@ -284,7 +284,7 @@
 
 bool simulation::has_joined(const store& self) const {
   if (omitted_ != omitted_rule::last_read) {
-    return self.peers.joined(self.state);
+    return self.peers.has_joined(self.state);
   }
   const records::Group& group = self.state.group();
   std::size_t fenced = 0;
@@ -305,19 +305,20 @@
   made.retiring_boxes = retiring_;
   made.retiring_ms =
       retiring_.contains(self.self.box()) ? now_ms_ - retiring_since_ms_ : 0;
-  if (!has_open_place(made)) {
+  if (!has_vacancy(made)) {
     self.vacancy_since_ms = now_ms_;
   }
-  made.place_open_ms = now_ms_ - self.vacancy_since_ms;
+  made.vacancy_ms = now_ms_ - self.vacancy_since_ms;
   return made;
 }
 
 void simulation::act(store& self, const become_learner& learning) {
-  propose(self, with_learner(self.state.group(), self.self, learning.gone));
+  propose(self,
+          with_learner(self.state.group(), self.self, learning.lost_learners));
 }
 
-void simulation::act(store& self, const take_place& place) {
-  propose(self, with_voter(self.state.group(), self.self, place.leaving));
+void simulation::act(store& self, const become_voter& place) {
+  propose(self, with_voter(self.state.group(), self.self, place.replaced));
 }
 
 void simulation::act(store& self, const leave_group&) {
--- a/test/store_group_world.h
+++ b/test/store_group_world.h
@@ -106,7 +106,7 @@
   membership_view view_of(store& self) const;
   void act(store&, const do_nothing&) {}
   void act(store& self, const become_learner& learning);
-  void act(store& self, const take_place& place);
+  void act(store& self, const become_voter& place);
   void act(store& self, const leave_group&);
   // Removes the box with its disk, which does not count as a loss.
   void act(store& self, const finish_retirement&);
