--- a/include/trayrock/internal/decide/configuration_proof.h
+++ b/include/trayrock/internal/decide/configuration_proof.h
@@ -20,8 +20,8 @@
 //
 // Example:
 //   configuration_proof proof(milliseconds(5000));
-//   proof.shown(sent_ms);  // on a response of the platform
-//   if (!proof.holds(now_ms)) reject();
+//   proof.on_platform_response(sent_ms);
+//   if (!proof.is_valid(now_ms)) reject();
 #pragma once
 
 #include <chrono>
--- a/include/trayrock/internal/decide/permit_limiter.h
+++ b/include/trayrock/internal/decide/permit_limiter.h
@@ -20,10 +20,10 @@
 // No I/O; times are of a steady clock.
 //
 // Example:
-//   permit_limiter book(terms);
-//   book.begin({"store-1", "store-2", "store-3"}, "store-2");
+//   permit_limiter limiter(terms);
+//   limiter.begin({"store-1", "store-2", "store-3"}, "store-2");
 //   const permit_verdict verdict =
-//       book.acquire("growers", limit, permit_use::goes_on, now);
+//       limiter.acquire("growers", limit, permit_use::regular, now);
 //   if (const auto* given = std::get_if<permit_given>(&verdict)) serve();
 #pragma once
 
--- a/include/trayrock/internal/decide/permit_sources.h
+++ b/include/trayrock/internal/decide/permit_sources.h
@@ -12,8 +12,8 @@
 //   permit_sources sources("north", seed);
 //   sources.set_stores(stores);
 //   const permit_source next = sources.next("growers", use, tried, now);
-//   if (const auto* ask = std::get_if<try_store>(&next)) request(ask->store);
-//   sources.refused("growers", use, "store-1", milliseconds(250), now);
+//   if (const auto* found = std::get_if<try_store>(&next)) call(found->store);
+//   sources.on_refusal("growers", use, "store-1", milliseconds(250), now);
 #pragma once
 
 #include <chrono>
--- a/include/trayrock/internal/decide/store_membership.h
+++ b/include/trayrock/internal/decide/store_membership.h
@@ -43,8 +43,7 @@
   records::Group group;
   std::map<std::string, peer_view> peers;  // by the id in the group
   std::set<std::string> retiring_boxes;
-  bool peer_reported_retirement =
-      false;                      // a peer reports that this box is to retire
+  bool peer_reported_retirement = false;  // of this store's box
   std::uint64_t retiring_ms = 0;  // since this box was to retire; 0: it is not
   bool change_pending = false;    // a change of the group is in progress
   // Learners keep learning, in order to fill the next vacancy.
--- a/include/trayrock/internal/decide/store_peers.h
+++ b/include/trayrock/internal/decide/store_peers.h
@@ -13,10 +13,10 @@
 //   store_peers peers;
 //   peers.follow(state, now);
 //   peers.on_pull_started("store-2");
-//   if (peers.answered("store-2", reply, now)) {
-//     peers.read("store-2", true);
+//   if (peers.on_pull_reply("store-2", reply, now)) {
+//     peers.on_records_stored("store-2", true);
 //   }
-//   if (peers.joined(state)) count_as_voter();
+//   if (peers.has_joined(state)) count_as_voter();
 #pragma once
 
 #include <cstdint>
--- a/include/trayrock/internal/decide/watch_roles.h
+++ b/include/trayrock/internal/decide/watch_roles.h
@@ -11,10 +11,12 @@
 //
 // Example:
 //   watch_roles roles("gateway-1", "north", sharing);
-//   const watch_step step = roles.next(peers, now);
-//   if (const auto* ask = std::get_if<poll_watcher>(&step)) poll(ask->address);
-//   roles.heard(address);            // it watches and has replied
-//   roles.unusable(address, now);    // no reply, or it does not watch
+//   const watch_step step = roles.next_step(peers, now);
+//   if (const auto* poll = std::get_if<poll_watcher>(&step)) {
+//     send_request(poll->address);
+//   }
+//   roles.on_reply(address);         // it watches and has replied
+//   roles.on_failure(address, now);  // no reply, or it does not watch
 #pragma once
 
 #include <chrono>
@@ -68,8 +70,9 @@
                                 std::chrono::milliseconds since_start,
                                 std::uint64_t now_ms);
 
-  // The peer to poll concurrently with an unfinished call to the platform,
-  // since a peer may have data that the platform does not return.
+  // The peer to poll concurrently with a pending call to the platform, since a
+  // peer may have data that the platform does not return. Never
+  // `watch_platform`.
   first_watch_step peer_step(std::span<const relay_peer> peers,
                              std::uint64_t now_ms);
 
--- a/test/permit_limiter_test.cc
+++ b/test/permit_limiter_test.cc
@@ -30,15 +30,15 @@
   return count;
 }
 
-permit_limiter book_of(const std::string& own,
-                       const limit_terms& terms = plain_terms) {
+permit_limiter limiter_of(const std::string& own,
+                          const limit_terms& terms = plain_terms) {
   permit_limiter made(terms);
   made.begin(three_stores, own);
   return made;
 }
 
-class permit_book_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(permit_book_test);
+class permit_limiter_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(permit_limiter_test);
   CPPUNIT_TEST(shares_add_up_to_the_limit);
   CPPUNIT_TEST(half_of_the_tolerance_is_issued);
   CPPUNIT_TEST(no_sliding_window_exceeds_the_share);
@@ -63,8 +63,8 @@
   void shares_add_up_to_the_limit() {
     int sum = 0;
     for (const std::string& each : three_stores) {
-      permit_limiter book = book_of(each);
-      sum += acquire_all(book, 1000, {10, 11, 1});
+      permit_limiter limiter = limiter_of(each);
+      sum += acquire_all(limiter, 1000, {10, 11, 1});
     }
     CPPUNIT_ASSERT_EQUAL(61, sum);
   }
@@ -76,11 +76,11 @@
   }
 
   void no_sliding_window_exceeds_the_share() {
-    permit_limiter book = book_of("store-1");
+    permit_limiter limiter = limiter_of("store-1");
     std::vector<std::uint64_t> times;
     for (std::uint64_t now = 0; now < 30000; now += 7) {
-      if (given(
-              book.acquire("growers", limit_of_60, permit_use::regular, now))) {
+      if (given(limiter.acquire("growers", limit_of_60, permit_use::regular,
+                                now))) {
         times.push_back(now);
       }
     }
@@ -95,62 +95,62 @@
   }
 
   void refusal_returns_the_wait_for_the_next_permit() {
-    permit_limiter book = book_of("store-1");
-    acquire_all(book, 1000);
+    permit_limiter limiter = limiter_of("store-1");
+    acquire_all(limiter, 1000);
     const permit_verdict verdict =
-        book.acquire("growers", limit_of_60, permit_use::regular, 2000);
+        limiter.acquire("growers", limit_of_60, permit_use::regular, 2000);
     const auto next = static_cast<std::uint64_t>(
         std::get<permit_refused>(verdict).next.count());
 
-    CPPUNIT_ASSERT(!given(book.acquire("growers", limit_of_60,
-                                       permit_use::regular, 2000 + next - 1)));
-    CPPUNIT_ASSERT(given(book.acquire("growers", limit_of_60,
-                                      permit_use::regular, 2000 + next)));
+    CPPUNIT_ASSERT(!given(limiter.acquire(
+        "growers", limit_of_60, permit_use::regular, 2000 + next - 1)));
+    CPPUNIT_ASSERT(given(limiter.acquire("growers", limit_of_60,
+                                         permit_use::regular, 2000 + next)));
   }
 
   void starting_programs_leave_a_quarter() {
-    permit_limiter book = book_of("store-1");
-    CPPUNIT_ASSERT_EQUAL(
-        15, acquire_all(book, 1000, limit_of_60, permit_use::starts_program));
-    CPPUNIT_ASSERT_EQUAL(5, acquire_all(book, 1000));
+    permit_limiter limiter = limiter_of("store-1");
+    CPPUNIT_ASSERT_EQUAL(15, acquire_all(limiter, 1000, limit_of_60,
+                                         permit_use::starts_program));
+    CPPUNIT_ASSERT_EQUAL(5, acquire_all(limiter, 1000));
   }
 
   void unused_permit_is_issued_again() {
-    permit_limiter book = book_of("store-1");
+    permit_limiter limiter = limiter_of("store-1");
     const permit_verdict first =
-        book.acquire("growers", limit_of_60, permit_use::regular, 1000);
-    acquire_all(book, 1300);
-    book.give_back("growers", std::get<permit_given>(first).slot);
+        limiter.acquire("growers", limit_of_60, permit_use::regular, 1000);
+    acquire_all(limiter, 1300);
+    limiter.give_back("growers", std::get<permit_given>(first).slot);
 
-    CPPUNIT_ASSERT_EQUAL(1, acquire_all(book, 1300));
+    CPPUNIT_ASSERT_EQUAL(1, acquire_all(limiter, 1300));
   }
 
   void permit_of_an_expired_window_is_not_returned() {
-    permit_limiter book = book_of("store-1");
+    permit_limiter limiter = limiter_of("store-1");
     const permit_verdict first =
-        book.acquire("growers", limit_of_60, permit_use::regular, 1000);
-    acquire_all(book, 9000);
-    book.give_back("growers", std::get<permit_given>(first).slot);
+        limiter.acquire("growers", limit_of_60, permit_use::regular, 1000);
+    acquire_all(limiter, 9000);
+    limiter.give_back("growers", std::get<permit_given>(first).slot);
 
-    CPPUNIT_ASSERT_EQUAL(0, acquire_all(book, 9000));
+    CPPUNIT_ASSERT_EQUAL(0, acquire_all(limiter, 9000));
   }
 
   void lower_limit_applies_at_once_and_an_outdated_one_never() {
-    permit_limiter book = book_of("store-1");
-    CPPUNIT_ASSERT_EQUAL(10, acquire_all(book, 1000, {5, 5, 2}));
-    CPPUNIT_ASSERT_EQUAL(0, acquire_all(book, 1000, {50, 50, 1}));
-    CPPUNIT_ASSERT_EQUAL(10, acquire_all(book, 1000, {10, 10, 3}));
+    permit_limiter limiter = limiter_of("store-1");
+    CPPUNIT_ASSERT_EQUAL(10, acquire_all(limiter, 1000, {5, 5, 2}));
+    CPPUNIT_ASSERT_EQUAL(0, acquire_all(limiter, 1000, {50, 50, 1}));
+    CPPUNIT_ASSERT_EQUAL(10, acquire_all(limiter, 1000, {10, 10, 3}));
   }
 
   void workspaces_have_separate_limits() {
-    permit_limiter book = book_of("store-1");
-    acquire_all(book, 1000);
-    CPPUNIT_ASSERT(
-        given(book.acquire("buyers", limit_of_60, permit_use::regular, 1000)));
+    permit_limiter limiter = limiter_of("store-1");
+    acquire_all(limiter, 1000);
+    CPPUNIT_ASSERT(given(
+        limiter.acquire("buyers", limit_of_60, permit_use::regular, 1000)));
   }
 
   void restart_keeps_the_permits_issued_before() {
-    permit_limiter before = book_of("store-1");
+    permit_limiter before = limiter_of("store-1");
     acquire_all(before, 4000);
     permit_limiter after(plain_terms);
     after.begin(three_stores, "store-1");
@@ -162,20 +162,20 @@
   }
 
   void joining_store_issues_nothing_for_a_window() {
-    permit_limiter book(plain_terms);
-    book.begin({}, "store-1");
-    book.set_stores(three_stores, "store-1", 1000);
+    permit_limiter limiter(plain_terms);
+    limiter.begin({}, "store-1");
+    limiter.set_stores(three_stores, "store-1", 1000);
 
-    CPPUNIT_ASSERT_EQUAL(0, acquire_all(book, 6000));
-    CPPUNIT_ASSERT_EQUAL(20, acquire_all(book, 6300));
+    CPPUNIT_ASSERT_EQUAL(0, acquire_all(limiter, 6000));
+    CPPUNIT_ASSERT_EQUAL(20, acquire_all(limiter, 6300));
   }
 
   void shares_grow_one_window_after_a_store_has_left() {
-    permit_limiter book = book_of("store-1");
-    book.set_stores({"store-1", "store-2"}, "store-1", 1000);
+    permit_limiter limiter = limiter_of("store-1");
+    limiter.set_stores({"store-1", "store-2"}, "store-1", 1000);
 
-    CPPUNIT_ASSERT_EQUAL(20, acquire_all(book, 1000));
-    CPPUNIT_ASSERT_EQUAL(30, acquire_all(book, 6500));
+    CPPUNIT_ASSERT_EQUAL(20, acquire_all(limiter, 1000));
+    CPPUNIT_ASSERT_EQUAL(30, acquire_all(limiter, 6500));
   }
 
   // The remainder of a limit that three stores don't divide is assigned by
@@ -188,8 +188,8 @@
         std::vector<std::string> after{added};
         int issued = 0;
         for (const std::string& each : three_stores) {
-          permit_limiter book = book_of(each);
-          issued += acquire_all(book, 1000, eight);
+          permit_limiter limiter = limiter_of(each);
+          issued += acquire_all(limiter, 1000, eight);
         }
         for (const std::string& each : three_stores) {
           if (each != removed) {
@@ -200,10 +200,10 @@
           if (each == removed) {
             continue;
           }
-          permit_limiter book = book_of(each);
-          acquire_all(book, 1000, eight);
-          book.set_stores(after, each, 1500);
-          issued += acquire_all(book, 1600, eight);
+          permit_limiter limiter = limiter_of(each);
+          acquire_all(limiter, 1000, eight);
+          limiter.set_stores(after, each, 1500);
+          issued += acquire_all(limiter, 1600, eight);
         }
         TRAYROCK_CHECK(issued <= 8, "expected at most 8 with "
                                         << added << " for " << removed
@@ -213,16 +213,16 @@
   }
 
   void store_outside_the_group_issues_nothing() {
-    permit_limiter book = book_of("store-1");
-    book.set_stores({"store-2", "store-3"}, "store-1", 1000);
-    CPPUNIT_ASSERT_EQUAL(0, acquire_all(book, 9000));
+    permit_limiter limiter = limiter_of("store-1");
+    limiter.set_stores({"store-2", "store-3"}, "store-1", 1000);
+    CPPUNIT_ASSERT_EQUAL(0, acquire_all(limiter, 9000));
   }
 
   void limit_of_one_request_is_issued_by_one_store() {
     int sum = 0;
     for (const std::string& each : three_stores) {
-      permit_limiter book = book_of(each);
-      sum += acquire_all(book, 1000, {0.2, 0, 1});
+      permit_limiter limiter = limiter_of(each);
+      sum += acquire_all(limiter, 1000, {0.2, 0, 1});
     }
     CPPUNIT_ASSERT_EQUAL(1, sum);
   }
@@ -280,7 +280,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(permit_book_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(permit_limiter_test);
 
 }  // namespace
 }  // namespace trayrock::testing
--- a/test/permit_load_test.cc
+++ b/test/permit_load_test.cc
@@ -94,8 +94,8 @@
       names_.push_back("store-" + std::to_string(i));
     }
     for (int i = 0; i < store_count; ++i) {
-      books_.emplace_back(terms);
-      books_.back().begin(names_, names_[i]);
+      limiters_.emplace_back(terms);
+      limiters_.back().begin(names_, names_[i]);
     }
     for (int i = 0; i < gateway_count; ++i) {
       sources_.emplace_back(data_centre_of(i), static_cast<std::uint64_t>(i));
@@ -108,21 +108,22 @@
     for (;;) {
       const permit_source next =
           sources_[gateway].next(workspace, permit_use::regular, tried, now_ms);
-      const auto* ask = std::get_if<try_store>(&next);
-      if (ask == nullptr) {
+      const auto* attempt = std::get_if<try_store>(&next);
+      if (attempt == nullptr) {
         return false;
       }
-      tried.insert(ask->store);
+      tried.insert(attempt->store);
       const auto at = static_cast<std::size_t>(
-          std::find(names_.begin(), names_.end(), ask->store) - names_.begin());
+          std::find(names_.begin(), names_.end(), attempt->store) -
+          names_.begin());
       const permit_verdict verdict =
-          books_[at].acquire(workspace, limit, permit_use::regular, now_ms);
+          limiters_[at].acquire(workspace, limit, permit_use::regular, now_ms);
       if (std::holds_alternative<permit_given>(verdict)) {
         return true;
       }
-      sources_[gateway].on_refusal(workspace, permit_use::regular, ask->store,
-                                   std::get<permit_refused>(verdict).next,
-                                   now_ms);
+      sources_[gateway].on_refusal(
+          workspace, permit_use::regular, attempt->store,
+          std::get<permit_refused>(verdict).next, now_ms);
     }
   }
 
@@ -131,9 +132,9 @@
   // The new store has an empty disk and another name.
   void replace_one(std::uint64_t now_ms) {
     names_[1] = "store-new";
-    books_[1] = permit_limiter(terms);
+    limiters_[1] = permit_limiter(terms);
     for (int i = 0; i < store_count; ++i) {
-      books_[i].set_stores(names_, names_[i], now_ms);
+      limiters_[i].set_stores(names_, names_[i], now_ms);
     }
     for (permit_sources& each : sources_) {
       each.set_stores(locations());
@@ -143,7 +144,7 @@
   // Loses the permits that are not on disk yet.
   void lose_power(std::uint64_t now_ms) {
     for (std::size_t i = 0; i < store_count; ++i) {
-      restart(i, now_ms, books_[i].max_unsynced(workspace));
+      restart(i, now_ms, limiters_[i].max_unsynced(workspace));
     }
   }
 
@@ -163,19 +164,20 @@
   }
 
   void restart(std::size_t which, std::uint64_t now_ms, std::uint64_t lost) {
-    std::vector<std::uint32_t> counts = books_[which].counts(workspace, now_ms);
+    std::vector<std::uint32_t> counts =
+        limiters_[which].counts(workspace, now_ms);
     for (std::uint32_t& each : counts) {
       const auto removed = std::min<std::uint64_t>(each, lost);
       each -= static_cast<std::uint32_t>(removed);
       lost -= removed;
     }
-    books_[which] = permit_limiter(terms);
-    books_[which].begin(names_, names_[which]);
-    books_[which].restore(workspace, counts, now_ms);
+    limiters_[which] = permit_limiter(terms);
+    limiters_[which].begin(names_, names_[which]);
+    limiters_[which].restore(workspace, counts, now_ms);
   }
 
   std::vector<std::string> names_;
-  std::vector<permit_limiter> books_;
+  std::vector<permit_limiter> limiters_;
   std::vector<permit_sources> sources_;
 };
 
--- a/test/watch_roles_test.cc
+++ b/test/watch_roles_test.cc
@@ -45,8 +45,8 @@
 }
 
 std::string polled(const watch_step& step) {
-  const auto* ask = std::get_if<poll_watcher>(&step);
-  return ask == nullptr ? "the platform" : ask->address;
+  const auto* poll = std::get_if<poll_watcher>(&step);
+  return poll == nullptr ? "the platform" : poll->address;
 }
 
 class watch_roles_test : public CppUnit::TestFixture {
--- a/test/watch_sharing_model_test.cc
+++ b/test/watch_sharing_model_test.cc
@@ -287,8 +287,8 @@
       return;
     }
     const watch_step step = at.roles.next_step(at.peers, now_);
-    if (const auto* ask = std::get_if<poll_watcher>(&step)) {
-      at.polled = std::atoi(ask->address.c_str() + 1);
+    if (const auto* poll = std::get_if<poll_watcher>(&step)) {
+      at.polled = std::atoi(poll->address.c_str() + 1);
       at.poll_until_ms = now_ + poll_wait_ms;
       return;
     }
