--- a/test/store_group_model_test.cc
+++ b/test/store_group_model_test.cc
@@ -1,10 +1,11 @@
 // Checks the decision code of the record stores' group over many seeded runs of
-// a simulation with faults (store_group_world.h).
+// a simulation with faults
+// (store_group_simulation.h).
 //
 // Invariants: a read quorum never denies an acknowledged record, and of two
 // acknowledged reservations at least one sees the other. Each rule of the
 // protocol is omitted in turn, to check that the simulation finds a violation.
-#include "store_group_world.h"
+#include "store_group_simulation.h"
 #include "test_support.h"
 
 namespace trayrock::testing {
