--- a/include/trayrock/internal/gateway/endpoint_directory.h
+++ b/include/trayrock/internal/gateway/endpoint_directory.h
@@ -1,9 +1,8 @@
-// The endpoints that are known, and how they have been doing.
+// The known endpoints and the state of each.
 //
-// No I/O; the caller gives the time. The platform's records say which
-// endpoints there are; what requests see says which to leave alone for a
-// while (decide/endpoint_health.h). Which of them a request goes to is decided
-// by endpoint_choice.h.
+// No I/O; the caller gives the time. Endpoints come from the platform's
+// records, backoff from the results of requests (decide/endpoint_health.h).
+// decide/endpoint_choice.h selects among them.
 //
 // Example:
 //   endpoint_directory endpoints;
@@ -29,20 +28,19 @@
 
 namespace trayrock {
 
-// How endpoints are judged and chosen.
 struct directory_policy {
   health_policy health;
   choice_policy choice;
-  // Records that go nearly all at once are kept for a moment.
+  // Keeps endpoints for a grace period if nearly all records expire at once.
   bool keeps_lapsed = true;
-  // From the end of a trouble of the platform until this box has to know all.
+  // Time from the end of a platform outage until all boxes have reconnected.
   std::uint64_t reconnect_ms = 3000;
 
   bool operator==(const directory_policy&) const = default;
 };
 
-// This gateway's share of what a cold endpoint bears (decide/cold_start.h).
-using cold_sharing =
+// This gateway's share of a cold endpoint's limit (decide/cold_start.h).
+using cold_share_function =
     std::function<std::uint32_t(const cold_limit&, const endpoint&)>;
 
 class endpoint_directory {
@@ -50,84 +48,85 @@
   endpoint_directory() = default;
   explicit endpoint_directory(directory_policy policy) : policy_(policy) {}
 
-  // Replaces the whole list. After a loss of the platform, or when nearly all
-  // are missing at once, an endpoint that is not listed and was not leaving
-  // stays for a moment, since it may be back at once (decide/lapse_rule.h).
-  // Returns the ids of those that stay so.
+  // Replaces the whole list. After a loss of the platform, or if nearly all
+  // endpoints are missing at once, a missing endpoint that was not draining is
+  // kept for a grace period, since its record may return
+  // (decide/lapse_rule.h). Returns the ids of the endpoints kept.
   std::vector<std::string> replace(const std::vector<endpoint>& listed,
                                    bool after_loss, const answer_times& times);
 
-  // The data centres that are being emptied: nothing is sent there. Endpoints
-  // of one that is taken back count as cold, since their records may be late.
-  // True if the list differs from the one before.
-  bool evacuate(const data_centre_set& emptied, std::uint64_t now_ms);
+  // Sets the evacuated data centres; their endpoints are not chosen. Endpoints
+  // of a data centre that is removed from the list count as cold, since their
+  // records may be outdated. Returns true if the list has changed.
+  bool set_evacuated(const data_centre_set& evacuated, std::uint64_t now_ms);
 
-  // What the services' cold endpoints bear.
+  // Sets the limits of cold endpoints, by service.
   void set_cold_limits(const configuration& from);
 
-  // Finds out anew how much of it is this gateway's, for endpoints that are
-  // cold now.
-  void share_cold(const cold_sharing& share_of, std::uint64_t now_ms);
+  // Recalculates this gateway's share for each endpoint that is cold now.
+  void share_cold(const cold_share_function& share_of, std::uint64_t now_ms);
 
-  // Takes a record. One of a later instance than the known one takes its place,
-  // with nothing held, in flight or noted against it; one of an earlier
-  // instance or revision changes nothing.
+  // Applies a record. A later instance replaces the current one and starts
+  // with a clean state; an earlier instance or revision is ignored.
   void update(const endpoint& changed, std::uint64_t now_ms);
 
-  // The instance is gone, by an answer of the platform of that revision. A
-  // later instance that is known stays; where the answer names none, what is
-  // newer than the answer stays.
-  void remove(const endpoint_identity& gone, std::uint64_t revision);
+  // Removes an instance that the platform reported as removed at that revision.
+  // A later known instance stays; if the report names no instance, records
+  // newer than the revision stay.
+  void remove(const endpoint_identity& removed, std::uint64_t revision);
 
-  // The entry of that revision cannot be used: the endpoint is not chosen until
-  // a later one. What runs there is left to end. True if it was known.
+  // The endpoint's entry of that revision is unusable: stops choosing the
+  // endpoint until a later revision. Running attempts continue. Returns true if
+  // the endpoint was known.
   bool withdraw(const std::string& id, std::uint64_t revision);
 
-  // Whether so many records that go in one answer of the platform have lapsed
-  // with it (decide/lapse_rule.h).
-  bool lapsed_at_once(std::size_t removed) const;
+  // Whether this many removals in one response of the platform mean that the
+  // records have expired in an outage (decide/lapse_rule.h).
+  bool is_mass_expiry(std::size_t removed) const;
 
-  // The endpoint's record has lapsed with many others: it stays for a moment,
-  // unless it was leaving.
-  void lapse(const endpoint_identity& gone, std::uint64_t revision,
+  // The endpoint's record has expired together with many others: keeps it for a
+  // grace period, or removes it if it was draining.
+  void lapse(const endpoint_identity& removed, std::uint64_t revision,
              const answer_times& times);
 
-  // Until when endpoints stay that are missing in this way.
+  // The end of the grace period for endpoints that are missing in this way.
   std::uint64_t kept_until(absence how, const answer_times& times) const;
 
-  // Drops the endpoints whose moment is over; returns their ids. They are not
-  // chosen any more before it.
+  // Removes the endpoints whose grace period is over and returns their ids.
+  // choose() skips them from its end on, also before the sweep.
   std::vector<std::string> sweep(std::uint64_t now_ms);
 
-  // Nothing if no endpoint of the service may be sent to.
+  // Returns nullptr if no endpoint of the service can be used.
   endpoint_state_ptr choose(const endpoint_choice& wanted,
                             std::uint64_t now_ms) const;
 
-  // Whether some of the service would take a request if they were not cold.
+  // Whether an endpoint of the service is skipped only because it is cold and
+  // this gateway's share of its limit is used up.
   bool are_held_back_when_cold(std::string_view service,
                                std::uint64_t now_ms) const;
 
-  // Bookkeeping of one attempt.
+  // Accounts for the start of an attempt.
   static void begin(endpoint_state& at, std::uint64_t now_ms);
-  // Ends it; true if the endpoint is left alone from now on.
+  // Accounts for its end. Returns true if this puts the endpoint in backoff.
   static bool end(endpoint_state& at, attempt_outcome outcome,
                   double latency_ms, std::uint64_t now_ms);
 
-  // A request of another gateway failed at the endpoint; true as above.
+  // Records a failure that another gateway reported. Returns true if this puts
+  // the endpoint in backoff.
   bool report_failure(const endpoint_identity& failed, std::string_view gateway,
                       std::uint64_t now_ms);
 
-  // Another gateway has met another endpoint at this instance's address. True
-  // if this was not known.
+  // Another gateway has found another instance at this instance's address.
+  // Returns true if the instance is listed and was not marked before.
   bool supersede(const endpoint_identity& former);
 
-  // The instance that is known under an id; nothing if there is none.
+  // The known instance of that id, or nullptr.
   const endpoint* find(const std::string& id) const;
 
   std::size_t count(std::string_view service) const;
   std::size_t size() const { return by_id_.size(); }
 
-  // Those that are not listed any more and stay for a moment.
+  // The number of endpoints in their grace period.
   std::size_t unlisted() const;
 
  private:
@@ -136,25 +135,25 @@
 
   using known_endpoints = std::map<std::string, endpoint_state_ptr>;
 
-  endpoint_state_ptr made_state(const endpoint_identity& of) const;
+  endpoint_state_ptr make_state(const endpoint_identity& of) const;
   endpoint_state_ptr known_instance(const endpoint_identity& wanted) const;
-  void take(const endpoint& listed, std::uint64_t oldest_revision,
-            std::uint64_t now_ms);
-  known_endpoints::iterator find_gone(const endpoint_identity& gone,
-                                      std::uint64_t revision);
+  void apply(const endpoint& listed, std::uint64_t min_revision,
+             std::uint64_t now_ms);
+  known_endpoints::iterator find_removed(const endpoint_identity& removed,
+                                         std::uint64_t revision);
   void drop(known_endpoints::iterator known);
-  std::vector<std::string> keep_for_a_moment(
-      const std::set<std::string>& listed, std::uint64_t until_ms);
-  std::size_t missing_from(const std::set<std::string>& listed) const;
+  std::vector<std::string> keep_missing(const std::set<std::string>& listed,
+                                        std::uint64_t until_ms);
+  std::size_t count_missing(const std::set<std::string>& listed) const;
   std::vector<std::string> drop_if(const condition& holds);
-  void index();
+  void rebuild_index();
 
   directory_policy policy_;
   known_endpoints by_id_;
   std::map<std::string, std::vector<endpoint_state_ptr>, std::less<>>
       by_service_;
   former_endpoints former_;
-  data_centre_set emptied_;
+  data_centre_set evacuated_;
   std::map<std::string, cold_limit, std::less<>> cold_limits_;  // by service
 };
 
--- a/include/trayrock/internal/gateway/former_endpoints.h
+++ b/include/trayrock/internal/gateway/former_endpoints.h
@@ -1,16 +1,14 @@
-// Instances of endpoints that the platform lists no more.
+// Endpoint instances that the platform no longer lists.
 //
-// A record that is older than what was known of a gone instance does not bring
-// it back: it may have said since that it leaves. One whose record has lapsed
-// comes back with a later one, and is then what it was.
-//
-// An instance whose address another one has taken does not come back. A late
-// record may name it all the same, and then it has to be known for what it is;
-// a later instance under its id is another one.
+// A record older than the last known one must not restore a removed instance,
+// which may have reported since that it is draining. An instance whose record
+// has expired returns with a later record, and with its state. An instance
+// whose address another one has taken never returns; an outdated record may
+// still name it, so that it has to be recognized.
 //
 // Example:
 //   former_endpoints former;
-//   former.note(state);  // once it is listed no more
+//   former.add(state);  // no longer listed
 //   if (const auto known = former.find(listed.identity)) use(known);
 #pragma once
 
@@ -24,24 +22,24 @@
 
 class former_endpoints {
  public:
-  // Remembers an instance that is listed no more; beyond a fixed number, the
-  // one noted longest ago is forgotten.
-  void note(const endpoint_state_ptr& state);
+  // Adds an instance that is no longer listed. Above a fixed number, removes
+  // the one that was added first.
+  void add(const endpoint_state_ptr& state);
 
-  // Nothing if the endpoint is not remembered.
+  // Returns nullptr if the instance is not stored.
   endpoint_state_ptr find(const endpoint_identity& wanted) const;
 
-  // Whether a later instance under the same id was listed once.
-  bool knows_newer_than(const endpoint_identity& instance) const;
+  // Whether a later instance of the same id has been listed.
+  bool has_newer_than(const endpoint_identity& instance) const;
 
  private:
-  // Numbered in the order in which they were noted.
+  // Numbered in the order in which they were added.
   struct former_endpoint {
     endpoint_state_ptr state;
     std::uint64_t number = 0;
   };
 
-  void forget_oldest();
+  void remove_oldest();
 
   std::map<endpoint_identity, former_endpoint> known_;
   std::uint64_t next_number_ = 0;
--- a/src/gateway/endpoint_directory.cc
+++ b/src/gateway/endpoint_directory.cc
@@ -5,7 +5,7 @@
 namespace trayrock {
 namespace {
 
-// What the last answer's latency counts for in the smoothed one.
+// Weight of the latest latency in the moving average.
 constexpr double latency_weight = 0.2;
 
 double smoothed(double before_ms, double latency_ms) {
@@ -29,21 +29,21 @@
   for (const endpoint& each : listed) {
     ids.insert(each.identity.id);
   }
-  const bool lapsed = lapsed_at_once(missing_from(ids));
+  const bool expired = is_mass_expiry(count_missing(ids));
   for (const endpoint& each : listed) {
-    take(each, 0, times.now_ms);
+    apply(each, 0, times.now_ms);
   }
   std::vector<std::string> kept;
-  if (after_loss || lapsed) {
+  if (after_loss || expired) {
     const absence how =
         after_loss ? absence::listed_after_loss : absence::nearly_all_at_once;
-    kept = keep_for_a_moment(ids, kept_until(how, times));
+    kept = keep_missing(ids, kept_until(how, times));
   }
   drop_if([&](const std::string& id, const endpoint_state& at) {
     return !ids.contains(id) &&
            (at.record.draining || at.kept_until_ms <= times.now_ms);
   });
-  index();
+  rebuild_index();
   return kept;
 }
 
@@ -52,12 +52,12 @@
   return kept_until_ms(how, times, policy_.reconnect_ms);
 }
 
-bool endpoint_directory::lapsed_at_once(std::size_t removed) const {
+bool endpoint_directory::is_mass_expiry(std::size_t removed) const {
   return policy_.keeps_lapsed &&
          trayrock::lapsed_at_once(removed, by_id_.size());
 }
 
-std::size_t endpoint_directory::missing_from(
+std::size_t endpoint_directory::count_missing(
     const std::set<std::string>& listed) const {
   const auto missing = std::count_if(
       by_id_.begin(), by_id_.end(),
@@ -65,8 +65,8 @@
   return static_cast<std::size_t>(missing);
 }
 
-// Notes the time of those that are not listed any more.
-std::vector<std::string> endpoint_directory::keep_for_a_moment(
+// Starts the grace period of the endpoints missing from `listed`.
+std::vector<std::string> endpoint_directory::keep_missing(
     const std::set<std::string>& listed, std::uint64_t until_ms) {
   std::vector<std::string> kept;
   for (const auto& [id, state] : by_id_) {
@@ -88,7 +88,7 @@
   return static_cast<std::size_t>(found);
 }
 
-endpoint_state_ptr endpoint_directory::made_state(
+endpoint_state_ptr endpoint_directory::make_state(
     const endpoint_identity& of) const {
   auto made = std::make_shared<endpoint_state>();
   made->record.identity = of;
@@ -101,7 +101,7 @@
   return known == by_id_.end() ? nullptr : &known->second->record;
 }
 
-// What is held of an instance, be it listed or not; nullptr: nothing.
+// The state of an instance, listed or former, or nullptr.
 endpoint_state_ptr endpoint_directory::known_instance(
     const endpoint_identity& wanted) const {
   const auto known = by_id_.find(wanted.id);
@@ -110,28 +110,28 @@
   return listed ? known->second : former_.find(wanted);
 }
 
-// Takes a record unless a later instance, or a later record, is known.
-void endpoint_directory::take(const endpoint& listed,
-                              std::uint64_t oldest_revision,
-                              std::uint64_t now_ms) {
-  const endpoint* held = find(listed.identity.id);
-  const bool late =
-      (held != nullptr && held->identity.is_newer_than(listed.identity)) ||
-      former_.knows_newer_than(listed.identity);
-  if (late) {
+// Applies a record unless a later instance or a later record is known.
+void endpoint_directory::apply(const endpoint& listed,
+                               std::uint64_t min_revision,
+                               std::uint64_t now_ms) {
+  const endpoint* current = find(listed.identity.id);
+  const bool outdated = (current != nullptr &&
+                         current->identity.is_newer_than(listed.identity)) ||
+                        former_.has_newer_than(listed.identity);
+  if (outdated) {
     return;
   }
   endpoint_state_ptr state = known_instance(listed.identity);
   if (state == nullptr) {
-    state = made_state(listed.identity);
-  } else if (listed.revision < oldest_revision ||
+    state = make_state(listed.identity);
+  } else if (listed.revision < min_revision ||
              listed.revision < state->record.revision) {
     return;
   }
   const bool later = listed.revision > state->record.revision;
   if (later) {
-    const auto left = static_cast<std::uint64_t>(listed.cold_for.count());
-    state->cold_until_ms = left == 0 ? 0 : now_ms + left;
+    const auto cold_ms = static_cast<std::uint64_t>(listed.cold_for.count());
+    state->cold_until_ms = cold_ms == 0 ? 0 : now_ms + cold_ms;
   }
   state->record = listed;
   state->kept_until_ms = 0;
@@ -139,38 +139,40 @@
 }
 
 void endpoint_directory::update(const endpoint& changed, std::uint64_t now_ms) {
-  const endpoint_state_ptr gone = former_.find(changed.identity);
-  const endpoint* held = find(changed.identity.id);
-  const bool listed = held != nullptr && held->identity == changed.identity;
-  // The record by which a gone instance was known is no news of it.
-  const std::uint64_t oldest =
-      gone != nullptr && !listed ? gone->record.revision + 1 : 0;
-  take(changed, oldest, now_ms);
-  index();
+  const endpoint_state_ptr former = former_.find(changed.identity);
+  const endpoint* current = find(changed.identity.id);
+  const bool listed =
+      current != nullptr && current->identity == changed.identity;
+  // Only a newer record than the last known one restores a removed instance.
+  const std::uint64_t min_revision =
+      former != nullptr && !listed ? former->record.revision + 1 : 0;
+  apply(changed, min_revision, now_ms);
+  rebuild_index();
 }
 
-// The known instance that is gone by that answer.
-endpoint_directory::known_endpoints::iterator endpoint_directory::find_gone(
-    const endpoint_identity& gone, std::uint64_t revision) {
-  const auto known = by_id_.find(gone.id);
+// The known instance to which that removal applies, or end.
+endpoint_directory::known_endpoints::iterator endpoint_directory::find_removed(
+    const endpoint_identity& removed, std::uint64_t revision) {
+  const auto known = by_id_.find(removed.id);
   if (known == by_id_.end()) {
     return known;
   }
-  const endpoint& held = known->second->record;
-  const bool stays = gone.started_ms == 0 ? held.revision > revision
-                                          : held.identity.is_newer_than(gone);
+  const endpoint& current = known->second->record;
+  const bool stays = removed.started_ms == 0
+                         ? current.revision > revision
+                         : current.identity.is_newer_than(removed);
   return stays ? by_id_.end() : known;
 }
 
 void endpoint_directory::drop(known_endpoints::iterator known) {
-  former_.note(known->second);
+  former_.add(known->second);
   by_id_.erase(known);
-  index();
+  rebuild_index();
 }
 
-void endpoint_directory::remove(const endpoint_identity& gone,
+void endpoint_directory::remove(const endpoint_identity& removed,
                                 std::uint64_t revision) {
-  const auto known = find_gone(gone, revision);
+  const auto known = find_removed(removed, revision);
   if (known != by_id_.end()) {
     drop(known);
   }
@@ -186,10 +188,10 @@
   return true;
 }
 
-void endpoint_directory::lapse(const endpoint_identity& gone,
+void endpoint_directory::lapse(const endpoint_identity& removed,
                                std::uint64_t revision,
                                const answer_times& times) {
-  const auto known = find_gone(gone, revision);
+  const auto known = find_removed(removed, revision);
   if (known == by_id_.end()) {
     return;
   }
@@ -202,55 +204,55 @@
 }
 
 std::vector<std::string> endpoint_directory::sweep(std::uint64_t now_ms) {
-  std::vector<std::string> gone =
+  std::vector<std::string> dropped =
       drop_if([&](const std::string&, const endpoint_state& at) {
         return at.kept_until_ms != 0 && at.kept_until_ms <= now_ms;
       });
-  if (!gone.empty()) {
-    index();
+  if (!dropped.empty()) {
+    rebuild_index();
   }
-  return gone;
+  return dropped;
 }
 
-// Drops the endpoints for which the condition holds; returns their ids.
+// Drops the endpoints that meet the condition and returns their ids.
 std::vector<std::string> endpoint_directory::drop_if(const condition& holds) {
-  std::vector<std::string> gone;
+  std::vector<std::string> dropped;
   std::erase_if(by_id_, [&](const auto& known) {
     const auto& [id, state] = known;
-    const bool dropped = holds(id, *state);
-    if (dropped) {
-      former_.note(state);
-      gone.push_back(id);
+    const bool matches = holds(id, *state);
+    if (matches) {
+      former_.add(state);
+      dropped.push_back(id);
     }
-    return dropped;
+    return matches;
   });
-  return gone;
+  return dropped;
 }
 
-void endpoint_directory::index() {
+void endpoint_directory::rebuild_index() {
   by_service_.clear();
   for (const auto& [id, state] : by_id_) {
     const auto limit = cold_limits_.find(state->record.service);
     state->cold = limit == cold_limits_.end() ? cold_limit() : limit->second;
-    state->evacuated = emptied_.contains(state->record.data_centre);
+    state->evacuated = evacuated_.contains(state->record.data_centre);
     by_service_[state->record.service].push_back(state);
   }
 }
 
-bool endpoint_directory::evacuate(const data_centre_set& emptied,
-                                  std::uint64_t now_ms) {
-  if (emptied == emptied_) {
+bool endpoint_directory::set_evacuated(const data_centre_set& evacuated,
+                                       std::uint64_t now_ms) {
+  if (evacuated == evacuated_) {
     return false;
   }
-  emptied_ = emptied;
+  evacuated_ = evacuated;
   for (const auto& [id, state] : by_id_) {
-    const bool taken_back =
-        state->evacuated && !emptied_.contains(state->record.data_centre);
-    if (taken_back) {
+    const bool restored =
+        state->evacuated && !evacuated_.contains(state->record.data_centre);
+    if (restored) {
       presume_cold(*state, now_ms);
     }
   }
-  index();
+  rebuild_index();
   return true;
 }
 
@@ -263,11 +265,11 @@
   }
   if (limits != cold_limits_) {
     cold_limits_ = std::move(limits);
-    index();
+    rebuild_index();
   }
 }
 
-void endpoint_directory::share_cold(const cold_sharing& share_of,
+void endpoint_directory::share_cold(const cold_share_function& share_of,
                                     std::uint64_t now_ms) {
   if (cold_limits_.empty()) {
     return;
@@ -344,16 +346,16 @@
 bool endpoint_directory::supersede(const endpoint_identity& former) {
   endpoint_state_ptr state = known_instance(former);
   if (state == nullptr) {
-    state = made_state(former);
+    state = make_state(former);
   }
-  const bool news = !state->superseded;
+  const bool changed = !state->superseded;
   state->superseded = true;
-  const endpoint* held = find(former.id);
-  const bool listed = held != nullptr && held->identity == former;
+  const endpoint* current = find(former.id);
+  const bool listed = current != nullptr && current->identity == former;
   if (!listed) {
-    former_.note(state);
+    former_.add(state);
   }
-  return news && listed;
+  return changed && listed;
 }
 
 std::size_t endpoint_directory::count(std::string_view service) const {
--- a/src/gateway/former_endpoints.cc
+++ b/src/gateway/former_endpoints.cc
@@ -5,15 +5,15 @@
 namespace trayrock {
 namespace {
 
-// Late records come within seconds; endpoints are replaced by the dozen.
-constexpr std::size_t most_former = 256;
+// Outdated records arrive within seconds.
+constexpr std::size_t max_instances = 256;
 
 }  // namespace
 
-void former_endpoints::note(const endpoint_state_ptr& state) {
+void former_endpoints::add(const endpoint_state_ptr& state) {
   known_[state->record.identity] = {state, next_number_++};
-  if (known_.size() > most_former) {
-    forget_oldest();
+  if (known_.size() > max_instances) {
+    remove_oldest();
   }
 }
 
@@ -23,11 +23,10 @@
   return known == known_.end() ? nullptr : known->second.state;
 }
 
-bool former_endpoints::knows_newer_than(
-    const endpoint_identity& instance) const {
+bool former_endpoints::has_newer_than(const endpoint_identity& instance) const {
   for (auto each = known_.upper_bound(instance);
        each != known_.end() && each->first.id == instance.id; ++each) {
-    // One that others have only reported has no record.
+    // An instance known only from reports of other gateways has no record.
     const bool was_listed = !each->second.state->record.service.empty();
     if (was_listed) {
       return true;
@@ -36,7 +35,7 @@
   return false;
 }
 
-void former_endpoints::forget_oldest() {
+void former_endpoints::remove_oldest() {
   const auto oldest = std::min_element(
       known_.begin(), known_.end(), [](const auto& left, const auto& right) {
         return left.second.number < right.second.number;
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -322,7 +322,7 @@
 
 void platform_view::take_evacuations(const evacuation_list& held) {
   log_.set_evacuations(held);
-  if (parts_.endpoints.evacuate(held.data_centres, loop_.now_ms())) {
+  if (parts_.endpoints.set_evacuated(held.data_centres, loop_.now_ms())) {
     share_cold_endpoints();
     server_.wake();
   }
@@ -411,7 +411,7 @@
       said.changes().begin(), said.changes().end(),
       [](const records::EndpointChange& each) { return each.removed(); });
   const bool lapsed =
-      parts_.endpoints.lapsed_at_once(static_cast<std::size_t>(removed));
+      parts_.endpoints.is_mass_expiry(static_cast<std::size_t>(removed));
   if (lapsed) {
     parts_.metrics.add("endpoint_lapses_total");
     log_warn("endpoints_lapsed",
--- a/test/endpoint_directory_test.cc
+++ b/test/endpoint_directory_test.cc
@@ -1,4 +1,4 @@
-// Which endpoint a request goes to, after what earlier requests saw.
+// Choice of endpoints after failed attempts, expired records and reports.
 #include "trayrock/internal/gateway/endpoint_directory.h"
 
 #include "test_support.h"
@@ -12,35 +12,34 @@
 
 class endpoint_directory_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(endpoint_directory_test);
-  CPPUNIT_TEST(instance_that_is_no_longer_there_gets_nothing_more);
-  CPPUNIT_TEST(late_record_of_a_former_instance_does_not_bring_it_back);
-  CPPUNIT_TEST(listing_with_a_former_instance_does_not_bring_it_back);
-  CPPUNIT_TEST(endpoint_that_refuses_is_not_the_least_loaded);
-  CPPUNIT_TEST(endpoint_that_refused_is_used_again_soon);
-  CPPUNIT_TEST(all_are_used_when_all_refuse);
-  CPPUNIT_TEST(instance_that_another_gateway_missed_gets_nothing);
-  CPPUNIT_TEST(report_that_comes_before_the_late_record_counts);
-  CPPUNIT_TEST(records_that_lapse_at_once_stay_for_a_moment);
-  CPPUNIT_TEST(lapsed_record_that_does_not_come_back_goes);
-  CPPUNIT_TEST(leaving_endpoint_that_lapses_goes_at_once);
-  CPPUNIT_TEST(listing_that_misses_nearly_all_is_a_lapse);
-  CPPUNIT_TEST(few_removals_are_no_lapse);
-  CPPUNIT_TEST(leaving_endpoint_that_is_not_listed_after_a_loss_goes_at_once);
-  CPPUNIT_TEST(unlisted_endpoint_gets_nothing_once_its_time_is_over);
+  CPPUNIT_TEST(superseded_instance_gets_no_requests);
+  CPPUNIT_TEST(outdated_record_does_not_restore_a_superseded_instance);
+  CPPUNIT_TEST(outdated_listing_does_not_restore_a_superseded_instance);
+  CPPUNIT_TEST(refusing_endpoint_does_not_count_as_least_loaded);
+  CPPUNIT_TEST(refusing_endpoint_is_used_after_its_backoff);
+  CPPUNIT_TEST(endpoints_are_used_when_all_are_in_backoff);
+  CPPUNIT_TEST(instance_reported_as_superseded_gets_no_requests);
+  CPPUNIT_TEST(report_received_before_the_record_counts);
+  CPPUNIT_TEST(expired_endpoint_is_kept_for_the_grace_period);
+  CPPUNIT_TEST(expired_endpoint_is_removed_after_the_grace_period);
+  CPPUNIT_TEST(expired_draining_endpoint_is_removed_at_once);
+  CPPUNIT_TEST(listing_without_most_endpoints_keeps_them);
+  CPPUNIT_TEST(few_removals_do_not_count_as_expired);
+  CPPUNIT_TEST(draining_endpoint_missing_after_a_loss_is_removed_at_once);
+  CPPUNIT_TEST(expired_endpoint_is_not_chosen_after_the_grace_period);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Endpoints came back under other ids
-  // at their addresses. They refused requests for the former ids at once,
-  // which made the former ids the least loaded ones.
-  void instance_that_is_no_longer_there_gets_nothing_more() {
+  // An instance that rejects requests for another id at once would otherwise
+  // look like the least loaded endpoint.
+  void superseded_instance_gets_no_requests() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
     attempt_at(endpoints, "a", attempt_outcome::other_instance);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen(endpoints, start_ms + 9000));
   }
 
-  void late_record_of_a_former_instance_does_not_bring_it_back() {
+  void outdated_record_does_not_restore_a_superseded_instance() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
     attempt_at(endpoints, "a", attempt_outcome::other_instance);
@@ -49,7 +48,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen(endpoints, start_ms + 9000));
   }
 
-  void listing_with_a_former_instance_does_not_bring_it_back() {
+  void outdated_listing_does_not_restore_a_superseded_instance() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
     attempt_at(endpoints, "a", attempt_outcome::other_instance);
@@ -58,7 +57,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen(endpoints, start_ms + 9000));
   }
 
-  void records_that_lapse_at_once_stay_for_a_moment() {
+  void expired_endpoint_is_kept_for_the_grace_period() {
     endpoint_directory endpoints;
     endpoints.replace({named("a")}, false, {start_ms});
     endpoints.lapse({"a"}, 0, {start_ms});
@@ -69,7 +68,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
 
-  void lapsed_record_that_does_not_come_back_goes() {
+  void expired_endpoint_is_removed_after_the_grace_period() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
     endpoints.lapse({"a"}, 0, {start_ms});
@@ -77,16 +76,16 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
 
-  void leaving_endpoint_that_lapses_goes_at_once() {
+  void expired_draining_endpoint_is_removed_at_once() {
     endpoint_directory endpoints;
-    endpoint leaving = named("a");
-    leaving.draining = true;
-    endpoints.replace({leaving, named("b")}, false, {start_ms});
+    endpoint draining = named("a");
+    draining.draining = true;
+    endpoints.replace({draining, named("b")}, false, {start_ms});
     endpoints.lapse({"a"}, 0, {start_ms});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
 
-  void listing_that_misses_nearly_all_is_a_lapse() {
+  void listing_without_most_endpoints_keeps_them() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b"), named("c"), named("d")}, false,
                       {start_ms});
@@ -96,18 +95,18 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
 
-  void leaving_endpoint_that_is_not_listed_after_a_loss_goes_at_once() {
+  void draining_endpoint_missing_after_a_loss_is_removed_at_once() {
     endpoint_directory endpoints;
-    endpoint leaving = named("a");
-    leaving.draining = true;
-    endpoints.replace({leaving, named("b")}, false, {start_ms});
+    endpoint draining = named("a");
+    draining.draining = true;
+    endpoints.replace({draining, named("b")}, false, {start_ms});
     const auto kept = endpoints.replace({named("b")}, true, {start_ms});
     CPPUNIT_ASSERT(kept.empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
 
-  // Between two sweeps.
-  void unlisted_endpoint_gets_nothing_once_its_time_is_over() {
+  // Holds before the next sweep, too.
+  void expired_endpoint_is_not_chosen_after_the_grace_period() {
     endpoint_directory endpoints;
     endpoints.replace({named("a")}, false, {start_ms});
     endpoints.replace({}, true, {start_ms, start_ms});
@@ -115,7 +114,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), chosen(endpoints, start_ms + 2300));
   }
 
-  void few_removals_are_no_lapse() {
+  void few_removals_do_not_count_as_expired() {
     CPPUNIT_ASSERT(lapsed_at_once(68, 68));
     CPPUNIT_ASSERT(lapsed_at_once(3, 4));
     CPPUNIT_ASSERT(!lapsed_at_once(34, 68));
@@ -123,14 +122,14 @@
     CPPUNIT_ASSERT(!lapsed_at_once(0, 0));
   }
 
-  void endpoint_that_refuses_is_not_the_least_loaded() {
+  void refusing_endpoint_does_not_count_as_least_loaded() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b"), named("c")}, false, {start_ms});
     attempt_at(endpoints, "a", attempt_outcome::refused);
     CPPUNIT_ASSERT(chosen(endpoints, start_ms + 10) != "a");
   }
 
-  void endpoint_that_refused_is_used_again_soon() {
+  void refusing_endpoint_is_used_after_its_backoff() {
     endpoint_directory endpoints;
     endpoints.replace({named("a")}, false, {start_ms});
     attempt_at(endpoints, "a", attempt_outcome::refused);
@@ -139,7 +138,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), chosen(endpoints, start_ms + 500));
   }
 
-  void all_are_used_when_all_refuse() {
+  void endpoints_are_used_when_all_are_in_backoff() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
     attempt_at(endpoints, "a", attempt_outcome::refused);
@@ -147,7 +146,7 @@
     CPPUNIT_ASSERT(!chosen(endpoints, start_ms + 10).empty());
   }
 
-  void instance_that_another_gateway_missed_gets_nothing() {
+  void instance_reported_as_superseded_gets_no_requests() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
     CPPUNIT_ASSERT(endpoints.supersede({"a"}));
@@ -155,7 +154,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen(endpoints, start_ms + 10));
   }
 
-  void report_that_comes_before_the_late_record_counts() {
+  void report_received_before_the_record_counts() {
     endpoint_directory endpoints;
     endpoints.replace({named("b")}, false, {start_ms});
     endpoints.supersede({"a"});
@@ -179,7 +178,7 @@
     wanted.preferred = {id};
     auto found = endpoints.choose(wanted, start_ms);
     TRAYROCK_CHECK(found != nullptr && found->record.identity.id == id,
-                   "the endpoint asked for is chosen: " + id);
+                   "the preferred endpoint is chosen: " + id);
     return found;
   }
 
--- a/test/unusable_places_test.cc
+++ b/test/unusable_places_test.cc
@@ -1,5 +1,4 @@
-// Endpoints that are passed over for where they are, or because they have just
-// started.
+// Endpoints that are excluded or limited: evacuated data centres, cold starts.
 #include "test_support.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
 
@@ -22,11 +21,11 @@
 }
 
 endpoint_directory directory_with(const std::vector<endpoint>& known) {
-  configuration held;
-  held.services["s"].name = "s";
-  held.services["s"].cold = {4, std::chrono::milliseconds(cold_ms)};
+  configuration current;
+  current.services["s"].name = "s";
+  current.services["s"].cold = {4, std::chrono::milliseconds(cold_ms)};
   endpoint_directory made;
-  made.set_cold_limits(held);
+  made.set_cold_limits(current);
   made.replace(known, false, {start_ms, start_ms});
   return made;
 }
@@ -44,8 +43,8 @@
   return endpoints.choose(wanted, now_ms);
 }
 
-// How many requests in a row are sent; each ends at once.
-int sent_in_a_row(const endpoint_directory& endpoints, std::uint64_t now_ms) {
+// The number of consecutive requests that are sent; each ends at once.
+int count_sent(const endpoint_directory& endpoints, std::uint64_t now_ms) {
   constexpr int tries = 20;
   int sent = 0;
   for (int i = 0; i < tries; ++i) {
@@ -60,23 +59,23 @@
 
 class unusable_places_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(unusable_places_test);
-  CPPUNIT_TEST(endpoints_of_an_emptied_data_centre_get_nothing);
-  CPPUNIT_TEST(nothing_is_sent_while_all_data_centres_are_emptied);
-  CPPUNIT_TEST(endpoint_that_registers_in_an_emptied_data_centre_gets_nothing);
-  CPPUNIT_TEST(endpoints_that_are_taken_back_count_as_cold);
-  CPPUNIT_TEST(cold_endpoint_gets_no_more_than_the_share);
-  CPPUNIT_TEST(cold_endpoint_without_a_share_gets_nothing);
-  CPPUNIT_TEST(endpoint_that_answers_behind_a_pause_counts_as_cold);
-  CPPUNIT_TEST(record_that_is_known_does_not_make_an_endpoint_cold_again);
-  CPPUNIT_TEST(later_record_ends_or_begins_the_cold_time);
+  CPPUNIT_TEST(evacuated_endpoints_get_no_requests);
+  CPPUNIT_TEST(none_is_chosen_while_all_data_centres_are_evacuated);
+  CPPUNIT_TEST(endpoint_registered_during_an_evacuation_gets_no_requests);
+  CPPUNIT_TEST(endpoints_count_as_cold_after_an_evacuation);
+  CPPUNIT_TEST(cold_endpoint_gets_at_most_the_share);
+  CPPUNIT_TEST(cold_endpoint_without_a_share_gets_no_requests);
+  CPPUNIT_TEST(endpoint_that_responds_after_backoff_counts_as_cold);
+  CPPUNIT_TEST(repeated_record_does_not_restart_the_cold_period);
+  CPPUNIT_TEST(later_record_ends_or_starts_the_cold_period);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void endpoints_of_an_emptied_data_centre_get_nothing() {
+  void evacuated_endpoints_get_no_requests() {
     endpoint_directory endpoints =
         directory_with({endpoint_in("north"), endpoint_in("south")});
-    CPPUNIT_ASSERT(endpoints.evacuate({"north"}, start_ms));
-    CPPUNIT_ASSERT(!endpoints.evacuate({"north"}, start_ms));
+    CPPUNIT_ASSERT(endpoints.set_evacuated({"north"}, start_ms));
+    CPPUNIT_ASSERT(!endpoints.set_evacuated({"north"}, start_ms));
     for (int i = 0; i < 10; ++i) {
       const endpoint_state_ptr to = choose(endpoints, start_ms);
       endpoint_directory::begin(*to, start_ms);
@@ -84,73 +83,72 @@
     }
   }
 
-  void nothing_is_sent_while_all_data_centres_are_emptied() {
+  void none_is_chosen_while_all_data_centres_are_evacuated() {
     endpoint_directory endpoints = directory_with({endpoint_in("north")});
-    endpoints.evacuate({"north"}, start_ms);
+    endpoints.set_evacuated({"north"}, start_ms);
     CPPUNIT_ASSERT(choose(endpoints, start_ms) == nullptr);
   }
 
-  void endpoint_that_registers_in_an_emptied_data_centre_gets_nothing() {
+  void endpoint_registered_during_an_evacuation_gets_no_requests() {
     endpoint_directory endpoints = directory_with({});
-    endpoints.evacuate({"north"}, start_ms);
+    endpoints.set_evacuated({"north"}, start_ms);
     endpoints.update(endpoint_in("north"), start_ms);
     CPPUNIT_ASSERT(choose(endpoints, start_ms) == nullptr);
   }
 
-  void endpoints_that_are_taken_back_count_as_cold() {
+  void endpoints_count_as_cold_after_an_evacuation() {
     endpoint_directory endpoints = directory_with({endpoint_in("north")});
-    endpoints.evacuate({"north"}, start_ms);
-    endpoints.evacuate({}, start_ms + 8000);
+    endpoints.set_evacuated({"north"}, start_ms);
+    endpoints.set_evacuated({}, start_ms + 8000);
     share(endpoints, 2, start_ms + 8000);
-    CPPUNIT_ASSERT_EQUAL(2, sent_in_a_row(endpoints, start_ms + 8000));
-    CPPUNIT_ASSERT_EQUAL(20,
-                         sent_in_a_row(endpoints, start_ms + 8000 + cold_ms));
+    CPPUNIT_ASSERT_EQUAL(2, count_sent(endpoints, start_ms + 8000));
+    CPPUNIT_ASSERT_EQUAL(20, count_sent(endpoints, start_ms + 8000 + cold_ms));
   }
 
-  void cold_endpoint_gets_no_more_than_the_share() {
+  void cold_endpoint_gets_at_most_the_share() {
     endpoint_directory endpoints =
         directory_with({endpoint_in("north", 1, cold_ms)});
     share(endpoints, 3, start_ms);
-    CPPUNIT_ASSERT_EQUAL(3, sent_in_a_row(endpoints, start_ms));
-    CPPUNIT_ASSERT_EQUAL(0, sent_in_a_row(endpoints, start_ms + 999));
-    CPPUNIT_ASSERT_EQUAL(3, sent_in_a_row(endpoints, start_ms + 1000));
+    CPPUNIT_ASSERT_EQUAL(3, count_sent(endpoints, start_ms));
+    CPPUNIT_ASSERT_EQUAL(0, count_sent(endpoints, start_ms + 999));
+    CPPUNIT_ASSERT_EQUAL(3, count_sent(endpoints, start_ms + 1000));
   }
 
-  void cold_endpoint_without_a_share_gets_nothing() {
+  void cold_endpoint_without_a_share_gets_no_requests() {
     const endpoint_directory endpoints =
         directory_with({endpoint_in("north", 1, cold_ms)});
-    CPPUNIT_ASSERT_EQUAL(0, sent_in_a_row(endpoints, start_ms));
-    CPPUNIT_ASSERT_EQUAL(20, sent_in_a_row(endpoints, start_ms + cold_ms));
+    CPPUNIT_ASSERT_EQUAL(0, count_sent(endpoints, start_ms));
+    CPPUNIT_ASSERT_EQUAL(20, count_sent(endpoints, start_ms + cold_ms));
   }
 
-  // It may have been another start, of which no record has come yet.
-  void endpoint_that_answers_behind_a_pause_counts_as_cold() {
+  // It may have restarted, with its new record still to arrive.
+  void endpoint_that_responds_after_backoff_counts_as_cold() {
     endpoint_directory endpoints = directory_with({endpoint_in("north")});
     const endpoint_state_ptr at = choose(endpoints, start_ms);
     endpoint_directory::end(*at, attempt_outcome::unreachable, 1, start_ms);
     const std::uint64_t later = start_ms + 2000;
     CPPUNIT_ASSERT(at->health.on_trial(later));
     share(endpoints, 2, later);
-    CPPUNIT_ASSERT_EQUAL(2, sent_in_a_row(endpoints, later));
-    CPPUNIT_ASSERT_EQUAL(20, sent_in_a_row(endpoints, later + cold_ms));
+    CPPUNIT_ASSERT_EQUAL(2, count_sent(endpoints, later));
+    CPPUNIT_ASSERT_EQUAL(20, count_sent(endpoints, later + cold_ms));
   }
 
-  void record_that_is_known_does_not_make_an_endpoint_cold_again() {
+  void repeated_record_does_not_restart_the_cold_period() {
     endpoint_directory endpoints =
         directory_with({endpoint_in("north", 7, cold_ms)});
     const std::uint64_t later = start_ms + cold_ms;
     endpoints.replace({endpoint_in("north", 7, cold_ms)}, false,
                       {later, later});
-    CPPUNIT_ASSERT_EQUAL(20, sent_in_a_row(endpoints, later));
+    CPPUNIT_ASSERT_EQUAL(20, count_sent(endpoints, later));
   }
 
-  void later_record_ends_or_begins_the_cold_time() {
+  void later_record_ends_or_starts_the_cold_period() {
     endpoint_directory endpoints =
         directory_with({endpoint_in("north", 7, cold_ms)});
     endpoints.update(endpoint_in("north", 8), start_ms + 100);
-    CPPUNIT_ASSERT_EQUAL(20, sent_in_a_row(endpoints, start_ms + 100));
+    CPPUNIT_ASSERT_EQUAL(20, count_sent(endpoints, start_ms + 100));
     endpoints.update(endpoint_in("north", 9, cold_ms), start_ms + 200);
-    CPPUNIT_ASSERT_EQUAL(0, sent_in_a_row(endpoints, start_ms + 200));
+    CPPUNIT_ASSERT_EQUAL(0, count_sent(endpoints, start_ms + 200));
   }
 };
 
