--- a/include/trayrock/internal/gateway/endpoint_entries.h
+++ b/include/trayrock/internal/gateway/endpoint_entries.h
@@ -1,11 +1,12 @@
-// What the platform answers about endpoints, as gateways tell it to each other.
+// Converts the platform's endpoint objects into the records that gateways
+// exchange.
 //
-// An entry that cannot be used is told as such, counted, and logged once for
-// each of its revisions.
+// An unusable object is passed on as such, counted, and logged once for each
+// of its revisions.
 //
 // Example:
-//   endpoint_entries entries(metrics);
-//   apply(entries.of_listing(found, after_loss));
+//   endpoint_entries decoder(metrics);
+//   apply(decoder.decode_listing(found, after_loss));
 #pragma once
 
 #include <cstdint>
@@ -23,24 +24,24 @@
  public:
   explicit endpoint_entries(metrics_registry& metrics) : metrics_(metrics) {}
 
-  records::EndpointChanges of_listing(const platform::object_listing& found,
-                                      bool after_loss);
+  records::EndpointChanges decode_listing(const platform::object_listing& found,
+                                          bool after_loss);
 
   // `after` is the revision that the changes follow.
-  records::EndpointChanges of_changes(const platform::object_changes& seen,
-                                      std::uint64_t after);
+  records::EndpointChanges decode_changes(const platform::object_changes& found,
+                                          std::uint64_t after);
 
  private:
   void add(const platform::stored_object& object,
-           records::EndpointChanges& said);
-  void note_unusable(const platform::stored_object& object,
-                     std::error_code why);
+           records::EndpointChanges& changes);
+  void record_unusable(const platform::stored_object& object,
+                       std::error_code error);
 
   metrics_registry& metrics_;
-  std::map<std::string, std::uint64_t> logged_;  // revision, by id
+  std::map<std::string, std::uint64_t> logged_revisions_;  // by id
 };
 
-// A name that another writer has chosen, as it may stand in a line of the log.
-std::string short_name(const std::string& name);
+// Limits the length of a name from outside the program for the log.
+std::string shortened_name(const std::string& name);
 
 }  // namespace trayrock
--- a/src/gateway/endpoint_entries.cc
+++ b/src/gateway/endpoint_entries.cc
@@ -9,77 +9,77 @@
 namespace trayrock {
 namespace {
 
-constexpr std::size_t most_logged_name = 64;
-// Entries whose revision is remembered; more bad ones than any writer has made
-// by mistake. Beyond it all are logged once more.
-constexpr std::size_t most_logged = 256;
+constexpr std::size_t max_logged_name_length = 64;
+// Above this number the table of logged revisions is cleared, so that current
+// errors are logged once more.
+constexpr std::size_t max_logged_revisions = 256;
 
 }  // namespace
 
-std::string short_name(const std::string& name) {
-  return name.substr(0, most_logged_name);
+std::string shortened_name(const std::string& name) {
+  return name.substr(0, max_logged_name_length);
 }
 
-records::EndpointChanges endpoint_entries::of_listing(
+records::EndpointChanges endpoint_entries::decode_listing(
     const platform::object_listing& found, bool after_loss) {
-  records::EndpointChanges said;
-  said.set_whole(true);
-  said.set_after_loss(after_loss);
-  said.set_revision(found.revision);
+  records::EndpointChanges changes;
+  changes.set_whole(true);
+  changes.set_after_loss(after_loss);
+  changes.set_revision(found.revision);
   for (const platform::stored_object& each : found.objects) {
-    add(each, said);
+    add(each, changes);
   }
-  return said;
+  return changes;
 }
 
-records::EndpointChanges endpoint_entries::of_changes(
-    const platform::object_changes& seen, std::uint64_t after) {
-  records::EndpointChanges said;
-  said.set_after(after);
-  said.set_revision(seen.revision);
-  for (const platform::object_change& each : seen.changes) {
+records::EndpointChanges endpoint_entries::decode_changes(
+    const platform::object_changes& found, std::uint64_t after) {
+  records::EndpointChanges changes;
+  changes.set_after(after);
+  changes.set_revision(found.revision);
+  for (const platform::object_change& each : found.changes) {
     if (!each.removed) {
-      add(each.object, said);
+      add(each.object, changes);
       continue;
     }
-    const endpoint_identity gone = platform::identity_of(each.object);
-    records::EndpointChange& change = *said.add_changes();
+    const endpoint_identity removed = platform::identity_of(each.object);
+    records::EndpointChange& change = *changes.add_changes();
     change.set_removed(true);
-    change.mutable_record()->set_id(gone.id);
-    change.mutable_record()->set_started_ms(gone.started_ms);
+    change.mutable_record()->set_id(removed.id);
+    change.mutable_record()->set_started_ms(removed.started_ms);
   }
-  return said;
+  return changes;
 }
 
 void endpoint_entries::add(const platform::stored_object& object,
-                           records::EndpointChanges& said) {
+                           records::EndpointChanges& changes) {
   const result<endpoint> decoded = platform::decode_endpoint(object);
   if (decoded) {
-    *said.add_changes()->mutable_record() = encode(decoded.value());
-    logged_.erase(object.name);
+    *changes.add_changes()->mutable_record() = encode(decoded.value());
+    logged_revisions_.erase(object.name);
     return;
   }
-  records::EndpointRecord& unusable = *said.add_unusable();
+  records::EndpointRecord& unusable = *changes.add_unusable();
   unusable.set_id(object.name);
   unusable.set_revision(object.revision);
-  note_unusable(object, decoded.error());
+  record_unusable(object, decoded.error());
 }
 
-void endpoint_entries::note_unusable(const platform::stored_object& object,
-                                     std::error_code why) {
+void endpoint_entries::record_unusable(const platform::stored_object& object,
+                                       std::error_code error) {
   metrics_.add("endpoint_entries_unusable_total",
-               {{"error", std::to_string(why.value())}});
-  if (logged_.size() >= most_logged) {
-    logged_.clear();
+               {{"error", std::to_string(error.value())}});
+  if (logged_revisions_.size() >= max_logged_revisions) {
+    logged_revisions_.clear();
   }
-  std::uint64_t& logged = logged_[object.name];
+  std::uint64_t& logged = logged_revisions_[object.name];
   if (std::exchange(logged, object.revision) == object.revision) {
     return;
   }
-  log_error("endpoint_unusable", {{"endpoint", short_name(object.name)},
+  log_error("endpoint_unusable", {{"endpoint", shortened_name(object.name)},
                                   {"revision", std::to_string(object.revision)},
-                                  {"error", std::to_string(why.value())},
-                                  {"cause", why.message()}});
+                                  {"error", std::to_string(error.value())},
+                                  {"cause", error.message()}});
 }
 
 }  // namespace trayrock
--- a/src/gateway/endpoint_log_lines.cc
+++ b/src/gateway/endpoint_log_lines.cc
@@ -5,10 +5,9 @@
 namespace trayrock {
 namespace {
 
-// Ids that one line of the log names.
-constexpr std::size_t most_logged_ids = 24;
+constexpr std::size_t max_logged_ids = 24;
 
-// A line's list of ids, cut short where there are too many.
+// Ids for one log line, limited in number.
 class id_list {
  public:
   id_list() = default;
@@ -20,14 +19,14 @@
 
   void add(const std::string& id) {
     ++count_;
-    if (count_ <= most_logged_ids) {
+    if (count_ <= max_logged_ids) {
       text_.append(text_.empty() ? "" : " ").append(id);
     }
   }
   std::string text() const {
-    return count_ <= most_logged_ids
+    return count_ <= max_logged_ids
                ? text_
-               : text_ + " and " + std::to_string(count_ - most_logged_ids) +
+               : text_ + " and " + std::to_string(count_ - max_logged_ids) +
                      " more";
   }
 
@@ -42,20 +41,21 @@
   return id_list(ids).text();
 }
 
-void log_changes(const records::EndpointChanges& said) {
+void log_changes(const records::EndpointChanges& changes) {
   id_list registered;
   id_list draining;
   id_list removed;
-  for (const records::EndpointChange& each : said.changes()) {
+  for (const records::EndpointChange& each : changes.changes()) {
     id_list& into = each.removed()             ? removed
                     : each.record().draining() ? draining
                                                : registered;
     into.add(each.record().id());
   }
-  log_info("endpoints_changed", {{"revision", std::to_string(said.revision())},
-                                 {"registered", registered.text()},
-                                 {"draining", draining.text()},
-                                 {"removed", removed.text()}});
+  log_info("endpoints_changed",
+           {{"revision", std::to_string(changes.revision())},
+            {"registered", registered.text()},
+            {"draining", draining.text()},
+            {"removed", removed.text()}});
 }
 
 void log_avoided(const records::EndpointIdentity& instance,
--- a/src/gateway/endpoint_log_lines.h
+++ b/src/gateway/endpoint_log_lines.h
@@ -1,8 +1,8 @@
 // Log lines about many endpoints at once.
 //
 // Example:
-//   log_changes(said);
-//   log_info("endpoints_dropped", {{"endpoints", ids_text(gone)}});
+//   log_changes(changes);
+//   log_info("endpoints_dropped", {{"endpoints", ids_text(removed)}});
 #pragma once
 
 #include <span>
@@ -12,13 +12,13 @@
 
 namespace trayrock {
 
-// The ids, cut short where there are too many.
+// Lists the ids; above a limit, the number of those left out.
 std::string ids_text(std::span<const std::string> ids);
 
-// What the platform has said of endpoints in one answer.
-void log_changes(const records::EndpointChanges& said);
+// Logs the endpoint changes of one response of the platform.
+void log_changes(const records::EndpointChanges& changes);
 
-// An instance is left alone for what another gateway has told.
+// Logs that an instance is in backoff after a report of another gateway.
 void log_avoided(const records::EndpointIdentity& instance,
                  const records::EndpointNews& news);
 
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -189,11 +189,11 @@
 void platform_view::watch_endpoints() {
   endpoints_.on_snapshot(
       [this](const platform::object_listing& found, bool after_loss) {
-        apply(entries_.of_listing(found, after_loss), answered_now());
+        apply(entries_.decode_listing(found, after_loss), answered_now());
       });
   endpoints_.on_answer(
       [this](const platform::object_changes& seen, std::uint64_t after) {
-        apply(entries_.of_changes(seen, after), answered_now());
+        apply(entries_.decode_changes(seen, after), answered_now());
       });
   endpoints_.start_held();
 }
@@ -348,7 +348,7 @@
   for (const records::EndpointRecord& each : said.unusable()) {
     if (parts_.endpoints.withdraw(each.id(), each.revision())) {
       log_warn("endpoint_withdrawn",
-               {{"endpoint", short_name(each.id())},
+               {{"endpoint", shortened_name(each.id())},
                 {"revision", std::to_string(each.revision())}});
     }
   }
