--- a/include/trayrock/internal/gateway/evacuation_view.h
+++ b/include/trayrock/internal/gateway/evacuation_view.h
@@ -1,14 +1,14 @@
-// Which data centres the operator is emptying, as a gateway knows it.
+// The gateway's view of the data centres that the operator is evacuating.
 //
 // An evacuation is an object of the platform, named after the data centre: from
-// its creation on nothing is sent to the endpoints there, until it is removed.
-// What is known comes from this gateway's own watch or from a gateway that
-// watches for others; it is told whole, with the platform's revision, and an
-// older one never replaces a later one.
+// its creation until its removal, nothing is sent to the endpoints there. The
+// list comes from this gateway's own watch or from a gateway that watches for
+// others. It is always complete and carries the platform's revision; an older
+// list never replaces a later one.
 //
 // Example:
 //   evacuation_view view(loop, objects, pace);
-//   view.start([](const evacuation_list& held) { endpoints.evacuate(held); });
+//   view.start([](const evacuation_list& current) { apply(current); });
 #pragma once
 
 #include <cstdint>
@@ -24,34 +24,32 @@
  public:
   using adopted_callback = std::function<void(const evacuation_list&)>;
 
-  // Nothing in place of a pace: this operator empties no data centres, and the
-  // platform is not asked. All that is passed in by reference outlives the
-  // object.
+  // Without a pace, the operator uses no evacuations, and the platform is not
+  // queried. All references must outlive the object.
   evacuation_view(event_loop& loop, platform::object_store& objects,
                   const std::optional<platform::watch_pace>& pace);
   evacuation_view(const evacuation_view&) = delete;
   evacuation_view& operator=(const evacuation_view&) = delete;
 
-  // `adopted` is told of each list, also of one that differs from the one
-  // before by its revision only.
+  // `adopted` is called with each list, even if only the revision differs.
   void start(adopted_callback adopted);
 
-  const evacuation_list& held() const { return held_; }
+  const evacuation_list& current() const { return current_; }
 
-  // What another gateway has told.
-  void take_told(const evacuation_list& told);
+  // Applies the list received from another gateway.
+  void apply_received(const evacuation_list& received);
 
-  // Others watch the platform for this gateway, or not any more
-  // (platform/collection_watcher.h).
-  bool hold();
-  void release(bool patient);
+  // Pauses this gateway's own watch while another gateway watches for it, and
+  // resumes it (platform/collection_watcher.h).
+  bool pause();
+  void resume(bool patient);
 
  private:
   void adopt(data_centre_set data_centres, std::uint64_t revision);
 
   std::optional<platform::collection_watcher> watcher_;
   adopted_callback adopted_;
-  evacuation_list held_;
+  evacuation_list current_;
 };
 
 }  // namespace trayrock
--- a/src/gateway/evacuation_view.cc
+++ b/src/gateway/evacuation_view.cc
@@ -8,7 +8,7 @@
 namespace trayrock {
 namespace {
 
-std::string names_of(const data_centre_set& data_centres) {
+std::string joined_names(const data_centre_set& data_centres) {
   std::string text;
   for (const std::string& each : data_centres) {
     text.append(text.empty() ? "" : " ").append(each);
@@ -26,7 +26,7 @@
   }
 }
 
-// The object's name says all, so that one with an unusable content counts too.
+// Only the object's name matters: one with unusable contents counts too.
 void evacuation_view::start(adopted_callback adopted) {
   adopted_ = std::move(adopted);
   if (!watcher_) {
@@ -40,30 +40,30 @@
     adopt(std::move(listed), found.revision);
   });
   watcher_->on_answer(
-      [this](const platform::object_changes& seen, std::uint64_t) {
-        auto data_centres = held_.data_centres;
-        for (const platform::object_change& each : seen.changes) {
+      [this](const platform::object_changes& found, std::uint64_t) {
+        auto data_centres = current_.data_centres;
+        for (const platform::object_change& each : found.changes) {
           if (each.removed) {
             data_centres.erase(each.object.name);
           } else {
             data_centres.insert(each.object.name);
           }
         }
-        adopt(std::move(data_centres), seen.revision);
+        adopt(std::move(data_centres), found.revision);
       });
   watcher_->start_held();
 }
 
-void evacuation_view::take_told(const evacuation_list& told) {
-  if (watcher_ && told.revision > held_.revision) {
-    adopt(told.data_centres, told.revision);
-    watcher_->advance(told.revision);
+void evacuation_view::apply_received(const evacuation_list& received) {
+  if (watcher_ && received.revision > current_.revision) {
+    adopt(received.data_centres, received.revision);
+    watcher_->advance(received.revision);
   }
 }
 
-bool evacuation_view::hold() { return !watcher_ || watcher_->hold(); }
+bool evacuation_view::pause() { return !watcher_ || watcher_->hold(); }
 
-void evacuation_view::release(bool patient) {
+void evacuation_view::resume(bool patient) {
   if (watcher_) {
     watcher_->release(patient);
   }
@@ -71,15 +71,16 @@
 
 void evacuation_view::adopt(data_centre_set data_centres,
                             std::uint64_t revision) {
-  if (revision < held_.revision) {
+  if (revision < current_.revision) {
     return;
   }
-  if (data_centres != held_.data_centres) {
-    log_info("evacuations_changed", {{"revision", std::to_string(revision)},
-                                     {"data_centres", names_of(data_centres)}});
+  if (data_centres != current_.data_centres) {
+    log_info("evacuations_changed",
+             {{"revision", std::to_string(revision)},
+              {"data_centres", joined_names(data_centres)}});
   }
-  held_ = {revision, std::move(data_centres)};
-  adopted_(held_);
+  current_ = {revision, std::move(data_centres)};
+  adopted_(current_);
 }
 
 }  // namespace trayrock
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -246,7 +246,7 @@
 
 bool platform_view::hold() {
   const bool held = endpoints_.hold() && configuration_.hold() &&
-                    registry_.hold() && evacuations_.hold();
+                    registry_.hold() && evacuations_.pause();
   server_.wake();  // those that asked here ask elsewhere
   return held;
 }
@@ -257,7 +257,7 @@
   endpoints_.release(patient);
   configuration_.release(patient);
   registry_.release(patient);
-  evacuations_.release(patient);
+  evacuations_.resume(patient);
 }
 
 bool platform_view::watching() const {
@@ -266,7 +266,7 @@
 
 watch_position platform_view::position() const {
   return {endpoints_.revision(), configuration_.document().version,
-          registry_.revision(), evacuations_.held().revision};
+          registry_.revision(), evacuations_.current().revision};
 }
 
 std::error_code platform_view::take_told(const records::WatchReply& told,
@@ -291,7 +291,7 @@
   }
   configuration_.take_proof(told, asked_ms);
   if (told.evacuations_revision() != 0) {
-    evacuations_.take_told(
+    evacuations_.apply_received(
         {told.evacuations_revision(),
          {told.evacuated().begin(), told.evacuated().end()}});
   }
