--- a/include/trayrock/internal/gateway/configuration_view.h
+++ b/include/trayrock/internal/gateway/configuration_view.h
@@ -1,16 +1,16 @@
-// The configuration in force, as a gateway knows it, and the proof that it is
-// the newest.
+// The gateway's view of the configuration in force, and the proof that it is
+// current.
 //
 // Configurations come from this gateway's own watch of the platform or from
-// other gateways, and one with a lower version never replaces a later one. When
-// the proof ages (decide/configuration_proof.h), other gateways are asked for
-// theirs by turns: a platform may turn this gateway away and serve them.
+// other gateways; a lower version never replaces a later one. When the proof
+// ages (decide/configuration_proof.h), other gateways are asked for theirs in
+// turn, since the platform may be unavailable to this gateway only.
 //
 // Example:
 //   configuration_view view(loop, pool, objects, peers, settings, pace,
-//   metrics); view.start([](const configuration_document& held) {
-//   tell_others(held); }); if (view.held() && view.proof().holds(now))
-//   serve(*view.held());
+//                           metrics);
+//   view.start([](const configuration_document& current) { send(current); });
+//   if (view.current() && view.is_proven()) serve(*view.current());
 #pragma once
 
 #include <cstdint>
@@ -33,7 +33,7 @@
  public:
   using adopted_callback = std::function<void(const configuration_document&)>;
 
-  // All that is passed in by reference outlives the object.
+  // All references must outlive the object.
   configuration_view(event_loop& loop, rpc_pool& pool,
                      platform::object_store& objects, const peer_relays& peers,
                      const gateway_settings& settings,
@@ -41,41 +41,41 @@
   configuration_view(const configuration_view&) = delete;
   configuration_view& operator=(const configuration_view&) = delete;
 
-  // `adopted` is told of each configuration that comes into force.
+  // `adopted` is called with each configuration that comes into force.
   void start(adopted_callback adopted);
 
   // nullptr: none is known yet.
-  const configuration_ptr& held() const { return held_; }
+  const configuration_ptr& current() const { return current_; }
 
   // As the operator wrote it; version 0: none is known yet.
   const configuration_document& document() const { return document_; }
 
   const configuration_proof& proof() const { return proof_; }
 
-  // Whether requests that need a key may be served.
+  // Whether requests that require a key may be served.
   bool is_proven() const { return proof_.holds(loop_.now_ms()); }
 
-  // A configuration that another gateway has sent.
-  void take_document(const configuration_document& document);
+  // Applies a configuration received from another gateway.
+  void apply_document(const configuration_document& document);
 
-  // Another gateway's proof; `asked_ms` is when it was asked.
-  void take_proof(const records::WatchReply& told, std::uint64_t asked_ms);
+  // Applies another gateway's proof; `sent_ms` is when the request was sent.
+  void apply_proof(const records::WatchReply& reply, std::uint64_t sent_ms);
 
-  // Adds this gateway's proof to an answer.
-  void prove(records::WatchReply& reply) const;
+  // Adds this gateway's proof to a reply.
+  void add_proof(records::WatchReply& reply) const;
 
-  // Others watch the platform for this gateway, or not any more
-  // (platform/collection_watcher.h).
-  bool hold() { return watcher_.hold(); }
-  void release(bool patient) { watcher_.release(patient); }
+  // Pauses this gateway's own watch while another gateway watches for it, and
+  // resumes it (platform/collection_watcher.h).
+  bool pause() { return watcher_.hold(); }
+  void resume(bool patient) { watcher_.release(patient); }
 
  private:
   void watch();
-  void take_written(const platform::stored_object& object);
+  void apply_object(const platform::stored_object& object);
   void adopt(const platform::stored_object& object);
-  void look_at_proof();
-  void ask_peer();
-  void show_age() const;
+  void check_proof();
+  void request_proof();
+  void update_age_metric() const;
 
   event_loop& loop_;
   rpc_pool& pool_;
@@ -84,12 +84,13 @@
   platform::collection_watcher watcher_;
   configuration_proof proof_;
   adopted_callback adopted_;
-  configuration_ptr held_;
-  configuration_document document_;  // that `held_` was read from
+  configuration_ptr current_;
+  configuration_document document_;  // the source of `current_`
   bool was_proven_ = true;
-  std::uint64_t turn_ = 0;  // of the peers that are asked
-  rpc_call asking_;
-  timer looking_;
+  std::uint64_t last_peer_ =
+      0;  // that a proof was requested from; modulo the peers
+  rpc_call proof_call_;
+  timer check_timer_;
 };
 
 }  // namespace trayrock
--- a/include/trayrock/internal/gateway/platform_view.h
+++ b/include/trayrock/internal/gateway/platform_view.h
@@ -62,7 +62,7 @@
 
   // nullptr: none is known yet.
   const configuration_ptr& configuration() const {
-    return configuration_.held();
+    return configuration_.current();
   }
 
   // Whether requests that need a key may be served: the configuration was the
--- a/src/gateway/configuration_view.cc
+++ b/src/gateway/configuration_view.cc
@@ -7,11 +7,9 @@
 namespace trayrock {
 namespace {
 
-// How often the age of the proof is looked at. Another gateway is asked each
-// time while it is too high, so that some six are until it holds no more.
-constexpr milliseconds look_period{250};
-// Gateways answer within some ms; the next one is asked after this.
-constexpr milliseconds proof_patience{200};
+// While the proof is ageing, each check requests one from another gateway.
+constexpr milliseconds proof_check_period{250};
+constexpr milliseconds proof_timeout{200};
 
 }  // namespace
 
@@ -31,26 +29,26 @@
 void configuration_view::start(adopted_callback adopted) {
   adopted_ = std::move(adopted);
   watch();
-  looking_ = loop_.every(look_period, [this] { look_at_proof(); });
+  check_timer_ = loop_.every(proof_check_period, [this] { check_proof(); });
 }
 
 void configuration_view::watch() {
   watcher_.on_snapshot([this](const platform::object_listing& found, bool) {
     for (const platform::stored_object& each : found.objects) {
-      take_written(each);
+      apply_object(each);
     }
   });
   watcher_.on_change([this](const platform::object_change& change) {
     if (!change.removed) {
-      take_written(change.object);
+      apply_object(change.object);
     }
   });
   watcher_.on_current([this](std::uint64_t sent_ms) { proof_.shown(sent_ms); });
   watcher_.start_held();
 }
 
-// Others than the operator may write objects of that kind.
-void configuration_view::take_written(const platform::stored_object& object) {
+// Ignores objects of that kind with other names.
+void configuration_view::apply_object(const platform::stored_object& object) {
   if (object.name == platform::name_configuration) {
     adopt(object);
   }
@@ -70,22 +68,23 @@
   if (decoded.value().version <= before) {
     return;
   }
-  held_ = std::make_shared<const configuration>(std::move(decoded.value()));
-  document_ = {held_->version, platform::text_of(object)};
+  current_ = std::make_shared<const configuration>(std::move(decoded.value()));
+  document_ = {current_->version, platform::text_of(object)};
   const std::size_t workspaces =
-      held_->workspaces ? held_->workspaces->size() : 0;
+      current_->workspaces ? current_->workspaces->size() : 0;
   log_info("configuration_adopted",
-           {{"version", std::to_string(held_->version)},
+           {{"version", std::to_string(current_->version)},
             {"before", std::to_string(before)},
             {"revision", std::to_string(object.revision)},
-            {"routes", std::to_string(held_->routes.size())},
+            {"routes", std::to_string(current_->routes.size())},
             {"workspaces", std::to_string(workspaces)}});
   metrics_.set("configuration_version", {},
-               static_cast<double>(held_->version));
+               static_cast<double>(current_->version));
   adopted_(document_);
 }
 
-void configuration_view::take_document(const configuration_document& document) {
+void configuration_view::apply_document(
+    const configuration_document& document) {
   const result<platform::stored_object> object =
       platform::object_of(document.text);
   if (!object) {
@@ -100,16 +99,16 @@
   adopt(object.value());
 }
 
-void configuration_view::take_proof(const records::WatchReply& told,
-                                    std::uint64_t asked_ms) {
-  const bool usable = told.proven_configuration() != 0 &&
-                      told.proven_configuration() <= document_.version;
+void configuration_view::apply_proof(const records::WatchReply& reply,
+                                     std::uint64_t sent_ms) {
+  const bool usable = reply.proven_configuration() != 0 &&
+                      reply.proven_configuration() <= document_.version;
   if (usable) {
-    proof_.told(asked_ms, milliseconds(told.proof_age_ms()));
+    proof_.told(sent_ms, milliseconds(reply.proof_age_ms()));
   }
 }
 
-void configuration_view::prove(records::WatchReply& reply) const {
+void configuration_view::add_proof(records::WatchReply& reply) const {
   const auto age = proof_.age(loop_.now_ms());
   if (age && document_.version != 0) {
     reply.set_proven_configuration(document_.version);
@@ -117,51 +116,52 @@
   }
 }
 
-void configuration_view::look_at_proof() {
-  show_age();
+void configuration_view::check_proof() {
+  update_age_metric();
   const bool proven = is_proven();
-  if (proven != was_proven_ && held_ != nullptr) {
+  if (proven != was_proven_ && current_ != nullptr) {
     was_proven_ = proven;
     log_warn(proven ? "configuration_proven" : "configuration_unproven",
              {{"version", std::to_string(document_.version)},
               {"platform_silent_ms", std::to_string(watcher_.silence_ms())}});
   }
   if (proof_.is_ageing(loop_.now_ms())) {
-    ask_peer();
+    request_proof();
   }
 }
 
-void configuration_view::show_age() const {
+void configuration_view::update_age_metric() const {
   if (const auto age = proof_.age(loop_.now_ms())) {
     metrics_.set("configuration_proof_age_ms", {},
                  static_cast<double>(age->count()));
   }
 }
 
-void configuration_view::ask_peer() {
+void configuration_view::request_proof() {
   const std::vector<relay_peer> peers = peers_.peers();
-  if (peers.empty() || asking_.running()) {
+  if (peers.empty() || proof_call_.running()) {
     return;
   }
-  const relay_peer& peer = peers[++turn_ % peers.size()];
+  const relay_peer& peer = peers[++last_peer_ % peers.size()];
   metrics_.add("proofs_asked_total");
   records::WatchRequest request;
   request.set_configuration(document_.version);
   request.set_configuration_only(true);
-  asking_ = pool_.ask<records::WatchReply>(
-      peer.address, "Watch", request, proof_patience,
-      [this, asked = loop_.now_ms(),
-       name = peer.name](const result<records::WatchReply>& reply) {
-        if (!reply) {
+  proof_call_ = pool_.ask<records::WatchReply>(
+      peer.address, "Watch", request, proof_timeout,
+      [this, sent_ms = loop_.now_ms(),
+       name = peer.name](const result<records::WatchReply>& found) {
+        if (!found) {
           log_info("proof_not_told",
-                   {{"peer", name}, {"cause", reply.error().message()}});
+                   {{"peer", name}, {"cause", found.error().message()}});
           return;
         }
-        const records::WatchReply& told = reply.value();
-        if (told.configuration() > document_.version) {
-          take_document({told.configuration(), told.configuration_document()});
+        const records::WatchReply& reply = found.value();
+        if (reply.configuration() > document_.version) {
+          apply_document(
+              {reply.configuration(), reply.configuration_document()});
         }
-        take_proof(told, asked);
+        apply_proof(reply, sent_ms);
       });
 }
 
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -105,7 +105,9 @@
             relays_.add(peer);
             expect(revision);
           },
-          [this](records::WatchReply& reply) { configuration_.prove(reply); }),
+          [this](records::WatchReply& reply) {
+            configuration_.add_proof(reply);
+          }),
       news_(
           loop, pool, [this] { return follower_.watchers(); },
           entry_of(settings.service), policy.news) {}
@@ -120,7 +122,7 @@
                },
                [this](std::uint64_t revision) { expect(revision); },
                [this](const configuration_document& document) {
-                 configuration_.take_document(document);
+                 configuration_.apply_document(document);
                },
                [this]() -> const configuration_document& {
                  return configuration_.document();
@@ -245,7 +247,7 @@
 // ---- Who watches -----------------------------------------------------------
 
 bool platform_view::hold() {
-  const bool held = endpoints_.hold() && configuration_.hold() &&
+  const bool held = endpoints_.hold() && configuration_.pause() &&
                     registry_.hold() && evacuations_.pause();
   server_.wake();  // those that asked here ask elsewhere
   return held;
@@ -255,7 +257,7 @@
   // One that is to watch has others that rely on it.
   const bool patient = !follower_.is_watcher();
   endpoints_.release(patient);
-  configuration_.release(patient);
+  configuration_.resume(patient);
   registry_.release(patient);
   evacuations_.resume(patient);
 }
@@ -286,10 +288,10 @@
     registry_.take_told(told.group(), told.group_revision());
   }
   if (told.configuration() > configuration_.document().version) {
-    configuration_.take_document(
+    configuration_.apply_document(
         {told.configuration(), told.configuration_document()});
   }
-  configuration_.take_proof(told, asked_ms);
+  configuration_.apply_proof(told, asked_ms);
   if (told.evacuations_revision() != 0) {
     evacuations_.apply_received(
         {told.evacuations_revision(),
@@ -311,7 +313,7 @@
 }
 
 void platform_view::adopted(const configuration_document& held) {
-  parts_.endpoints.set_cold_limits(*configuration_.held());
+  parts_.endpoints.set_cold_limits(*configuration_.current());
   log_.set_configuration(held);
   server_.wake();
   if (!follower_.following()) {
