--- a/include/trayrock/internal/gateway/watch_log.h
+++ b/include/trayrock/internal/gateway/watch_log.h
@@ -1,9 +1,9 @@
-// What a gateway that watches the platform has to tell those that ask it.
+// What a gateway that watches the platform sends to gateways that poll it.
 //
-// Holds the endpoints' records with their last changes, the configuration, the
-// record stores' group, and news of endpoints that gateways found failing. One
-// that asks says what it knows, and gets what followed; one that is further
-// behind than the kept changes gets all records.
+// Holds the endpoints' records with their recent changes, the configuration,
+// the record stores' group, and reports of failing endpoints. A request names
+// the revisions that the caller has and gets what followed; a caller older than
+// the kept changes gets all records.
 //
 // No I/O; the caller gives the time.
 //
@@ -11,7 +11,7 @@
 //   watch_log log(random_number);
 //   log.add_endpoints(changes);
 //   records::WatchReply reply;
-//   if (log.answer(request, now, reply)) send(reply);  // else there is no news
+//   if (log.fill_reply(request, now, reply)) send(reply);  // else: no updates
 #pragma once
 
 #include <cstdint>
@@ -32,70 +32,72 @@
 
 class watch_log {
  public:
-  // `id` tells this log from that of an earlier life of the process.
+  // `id` distinguishes this log from those of earlier runs of the process.
   explicit watch_log(std::uint64_t id) : id_(id) {}
 
-  // What the platform said. It may overlap with what was added before; changes
-  // that leave a gap empty the log until all records come. Endpoints that are
-  // gone by it are used until then, if their records may have lapsed.
-  void add_endpoints(const records::EndpointChanges& said,
+  // Adds changes that the platform reported. They may overlap with earlier
+  // ones; after a gap the log is empty until the next complete listing. If
+  // `kept_until_ms` isn't 0, endpoints that are missing or removed here are
+  // used until then, since their records may have expired in an outage.
+  void add_endpoints(const records::EndpointChanges& changes,
                      std::uint64_t kept_until_ms = 0);
 
-  void set_configuration(const configuration_document& held);
+  void set_configuration(const configuration_document& current);
   void set_group(const records::Group& group, std::uint64_t revision);
-  void set_evacuations(const evacuation_list& held);
+  void set_evacuations(const evacuation_list& current);
 
-  // Endpoints that a gateway found failing or superseded. Those of late are
-  // told to whoever asks.
-  void add_news(const records::EndpointNews& news, std::uint64_t now_ms);
+  // Adds a report of failed or superseded endpoints. Recent reports are sent to
+  // all callers but the reporter.
+  void add_report(const records::EndpointNews& report, std::uint64_t now_ms);
 
-  // Fills in what follows what the asking gateway knows. False if there is
-  // nothing.
-  bool answer(const records::WatchRequest& request, std::uint64_t now_ms,
-              records::WatchReply& reply) const;
+  // Adds what is newer than the caller's state. Returns false if nothing is.
+  bool fill_reply(const records::WatchRequest& request, std::uint64_t now_ms,
+                  records::WatchReply& reply) const;
 
-  // Of it only the configuration.
-  bool add_configuration_behind(const records::WatchRequest& request,
-                                records::WatchReply& reply) const;
+  // The same for the configuration alone.
+  bool add_newer_configuration(const records::WatchRequest& request,
+                               records::WatchReply& reply) const;
 
-  // Up to which change the endpoints are held; 0: not at all.
+  // The platform's revision of the stored endpoints; 0: none are stored.
   std::uint64_t revision() const { return revision_; }
 
  private:
-  struct numbered_news {
+  struct numbered_report {
     std::uint64_t number = 0;
     std::uint64_t at_ms = 0;
-    records::EndpointNews news;
+    records::EndpointNews report;
   };
 
-  struct held_changes {
-    records::EndpointChanges said;
+  struct kept_changes {
+    records::EndpointChanges changes;
     std::uint64_t kept_until_ms = 0;
   };
 
-  void apply(const records::EndpointChanges& said);
-  records::EndpointChanges all_records(std::uint64_t now_ms) const;
-  bool add_endpoints_behind(std::uint64_t known, std::uint64_t now_ms,
-                            records::WatchReply& reply) const;
-  bool add_evacuations_behind(const records::WatchRequest& request,
-                              records::WatchReply& reply) const;
-  bool add_news_behind(const records::WatchRequest& request,
-                       std::uint64_t now_ms, records::WatchReply& reply) const;
+  void apply(const records::EndpointChanges& changes);
+  records::EndpointChanges full_listing(std::uint64_t now_ms) const;
+  bool add_newer_endpoints(std::uint64_t known, std::uint64_t now_ms,
+                           records::WatchReply& reply) const;
+  bool add_newer_evacuations(const records::WatchRequest& request,
+                             records::WatchReply& reply) const;
+  bool add_newer_reports(const records::WatchRequest& request,
+                         std::uint64_t now_ms,
+                         records::WatchReply& reply) const;
 
   std::uint64_t id_;
   std::uint64_t revision_ = 0;
-  bool after_loss_ = false;                  // of the last whole listing
-  std::uint64_t listing_kept_until_ms_ = 0;  // likewise
+  bool after_loss_ = false;  // of the last complete listing
+  std::uint64_t listing_kept_until_ms_ = 0;
   std::map<std::string, records::EndpointRecord> records_;
-  std::map<std::string, records::EndpointRecord> unusable_;  // id and revision
-  std::deque<held_changes> changes_;  // the last ones, in order
-  std::size_t changes_held_ = 0;      // in all of them together
+  std::map<std::string, records::EndpointRecord>
+      unusable_;                      // id and revision only
+  std::deque<kept_changes> changes_;  // the most recent ones, in order
+  std::size_t change_count_ = 0;      // entries in all of `changes_`
   configuration_document configuration_;
   std::uint64_t group_revision_ = 0;
   records::Group group_;
   evacuation_list evacuations_;
-  std::deque<numbered_news> news_;
-  std::uint64_t last_news_ = 0;
+  std::deque<numbered_report> reports_;
+  std::uint64_t last_report_ = 0;
 };
 
 }  // namespace trayrock
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -443,7 +443,7 @@
 
 // To those that ask this gateway.
 void platform_view::pass_on(const records::EndpointNews& news) {
-  log_.add_news(news, loop_.now_ms());
+  log_.add_report(news, loop_.now_ms());
   server_.wake_soon();
 }
 
--- a/src/gateway/watch_server.cc
+++ b/src/gateway/watch_server.cc
@@ -59,14 +59,14 @@
   const bool all = !call.request.configuration_only();
   if (all && watching_()) {
     reply.set_watching(true);
-    return log_.answer(call.request, now, reply) || !may_wait;
+    return log_.fill_reply(call.request, now, reply) || !may_wait;
   }
   if (all && knows_nothing(call.request)) {
-    log_.answer(call.request, now, reply);
+    log_.fill_reply(call.request, now, reply);
     // Both may have started together.
     return log_.revision() != 0 || !may_wait;
   }
-  log_.add_configuration_behind(call.request, reply);
+  log_.add_newer_configuration(call.request, reply);
   return true;
 }
 
--- a/test/watch_log_test.cc
+++ b/test/watch_log_test.cc
@@ -1,4 +1,4 @@
-// What a gateway that watches the platform tells those that ask it.
+// Replies of a watching gateway to gateways that poll it.
 #include "trayrock/internal/gateway/watch_log.h"
 
 #include "test_support.h"
@@ -29,76 +29,76 @@
   return made;
 }
 
-records::WatchReply answer(const watch_log& log, std::uint64_t revision,
-                           std::uint64_t now_ms = start_ms) {
+records::WatchReply reply_of(const watch_log& log, std::uint64_t revision,
+                             std::uint64_t now_ms = start_ms) {
   records::WatchRequest request;
   request.set_endpoints_revision(revision);
   records::WatchReply reply;
-  log.answer(request, now_ms, reply);
+  log.fill_reply(request, now_ms, reply);
   return reply;
 }
 
 class watch_log_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(watch_log_test);
-  CPPUNIT_TEST(nothing_new_is_no_answer);
-  CPPUNIT_TEST(changes_behind_a_revision_come_in_order);
-  CPPUNIT_TEST(one_that_is_too_far_behind_gets_all_records);
-  CPPUNIT_TEST(removed_records_are_not_among_all);
-  CPPUNIT_TEST(empty_answers_of_the_platform_leave_no_gap);
+  CPPUNIT_TEST(no_reply_without_updates);
+  CPPUNIT_TEST(changes_after_a_revision_are_sent_in_order);
+  CPPUNIT_TEST(outdated_caller_gets_all_records);
+  CPPUNIT_TEST(complete_listing_omits_removed_records);
+  CPPUNIT_TEST(empty_changes_leave_no_gap);
   CPPUNIT_TEST(gap_empties_the_log);
   CPPUNIT_TEST(changes_that_overlap_count_once);
-  CPPUNIT_TEST(newer_configuration_and_group_are_told);
-  CPPUNIT_TEST(evacuations_are_told_whole_to_those_behind);
-  CPPUNIT_TEST(news_are_told_once_and_not_to_their_sender);
-  CPPUNIT_TEST(old_news_are_not_told);
-  CPPUNIT_TEST(what_is_left_of_a_lapse_is_told);
-  CPPUNIT_TEST(listing_of_long_ago_tells_of_no_lapse);
+  CPPUNIT_TEST(newer_configuration_and_group_are_sent);
+  CPPUNIT_TEST(outdated_caller_gets_all_evacuations);
+  CPPUNIT_TEST(report_is_sent_once_and_not_to_the_reporter);
+  CPPUNIT_TEST(old_report_is_not_sent);
+  CPPUNIT_TEST(rest_of_the_grace_period_is_sent);
+  CPPUNIT_TEST(old_listing_has_no_grace_period);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void nothing_new_is_no_answer() {
+  void no_reply_without_updates() {
     const watch_log log = log_at(10);
     records::WatchRequest request;
     request.set_endpoints_revision(10);
     records::WatchReply reply;
-    CPPUNIT_ASSERT(!log.answer(request, start_ms, reply));
+    CPPUNIT_ASSERT(!log.fill_reply(request, start_ms, reply));
   }
 
-  void changes_behind_a_revision_come_in_order() {
+  void changes_after_a_revision_are_sent_in_order() {
     watch_log log = log_at(10);
     log.add_endpoints(change(10, 12, "a"));
     log.add_endpoints(change(12, 15, "b"));
-    const records::WatchReply reply = answer(log, 12);
+    const records::WatchReply reply = reply_of(log, 12);
     CPPUNIT_ASSERT_EQUAL(1, reply.endpoints_size());
     CPPUNIT_ASSERT_EQUAL(std::string("b"),
                          reply.endpoints(0).changes(0).record().id());
-    CPPUNIT_ASSERT_EQUAL(2, answer(log, 10).endpoints_size());
+    CPPUNIT_ASSERT_EQUAL(2, reply_of(log, 10).endpoints_size());
   }
 
-  void one_that_is_too_far_behind_gets_all_records() {
+  void outdated_caller_gets_all_records() {
     watch_log log = log_at(10);
     log.add_endpoints(change(10, 12, "a"));
-    const records::WatchReply reply = answer(log, 3);
+    const records::WatchReply reply = reply_of(log, 3);
     CPPUNIT_ASSERT_EQUAL(1, reply.endpoints_size());
     CPPUNIT_ASSERT(reply.endpoints(0).whole());
     CPPUNIT_ASSERT_EQUAL(4, reply.endpoints(0).changes_size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, reply.endpoints(0).revision());
   }
 
-  void removed_records_are_not_among_all() {
+  void complete_listing_omits_removed_records() {
     watch_log log = log_at(10);
     log.add_endpoints(change(10, 12, "e0", true));
-    CPPUNIT_ASSERT_EQUAL(2, answer(log, 0).endpoints(0).changes_size());
+    CPPUNIT_ASSERT_EQUAL(2, reply_of(log, 0).endpoints(0).changes_size());
   }
 
-  void empty_answers_of_the_platform_leave_no_gap() {
+  void empty_changes_leave_no_gap() {
     watch_log log = log_at(10);
     records::EndpointChanges empty;
     empty.set_after(10);
     empty.set_revision(40);
     log.add_endpoints(empty);
     log.add_endpoints(change(40, 41, "a"));
-    const records::WatchReply reply = answer(log, 10);
+    const records::WatchReply reply = reply_of(log, 10);
     CPPUNIT_ASSERT(!reply.endpoints(0).whole());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{41}, log.revision());
   }
@@ -117,24 +117,24 @@
     log.add_endpoints(change(10, 12, "old", true));
     log.add_endpoints(change(12, 16, "b"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{16}, log.revision());
-    CPPUNIT_ASSERT_EQUAL(2, answer(log, 10).endpoints_size());
+    CPPUNIT_ASSERT_EQUAL(2, reply_of(log, 10).endpoints_size());
   }
 
-  void newer_configuration_and_group_are_told() {
+  void newer_configuration_and_group_are_sent() {
     watch_log log = log_at(10);
     log.set_configuration({7, "text"});
     records::Group group;
     group.set_epoch(3);
     log.set_group(group, 9);
-    const records::WatchReply reply = answer(log, 10);
+    const records::WatchReply reply = reply_of(log, 10);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, reply.configuration());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, reply.group().epoch());
   }
 
-  void evacuations_are_told_whole_to_those_behind() {
+  void outdated_caller_gets_all_evacuations() {
     watch_log log = log_at(10);
     log.set_evacuations({12, {"north", "south"}});
-    const records::WatchReply reply = answer(log, 10);
+    const records::WatchReply reply = reply_of(log, 10);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, reply.evacuations_revision());
     CPPUNIT_ASSERT_EQUAL(2, reply.evacuated_size());
 
@@ -142,56 +142,55 @@
     request.set_endpoints_revision(10);
     request.set_evacuations_revision(12);
     records::WatchReply known;
-    CPPUNIT_ASSERT(!log.answer(request, start_ms, known));
+    CPPUNIT_ASSERT(!log.fill_reply(request, start_ms, known));
   }
 
-  void news_are_told_once_and_not_to_their_sender() {
+  void report_is_sent_once_and_not_to_the_reporter() {
     watch_log log = log_at(10);
-    records::EndpointNews news;
-    news.set_gateway("one");
-    news.add_failed()->set_id("e0");
-    log.add_news(news, start_ms);
+    records::EndpointNews report;
+    report.set_gateway("one");
+    report.add_failed()->set_id("e0");
+    log.add_report(report, start_ms);
     records::WatchRequest request;
     request.set_endpoints_revision(10);
     request.set_gateway("two");
     records::WatchReply first;
-    CPPUNIT_ASSERT(log.answer(request, start_ms + 10, first));
+    CPPUNIT_ASSERT(log.fill_reply(request, start_ms + 10, first));
     request.set_news_log(first.news_log());
     request.set_news(first.news());
     records::WatchReply second;
-    CPPUNIT_ASSERT(!log.answer(request, start_ms + 20, second));
+    CPPUNIT_ASSERT(!log.fill_reply(request, start_ms + 20, second));
     request.set_news(0);
     request.set_gateway("one");
     records::WatchReply own;
-    CPPUNIT_ASSERT(!log.answer(request, start_ms + 20, own));
+    CPPUNIT_ASSERT(!log.fill_reply(request, start_ms + 20, own));
   }
 
-  void old_news_are_not_told() {
+  void old_report_is_not_sent() {
     watch_log log = log_at(10);
-    records::EndpointNews news;
-    news.add_failed()->set_id("e0");
-    log.add_news(news, start_ms);
-    CPPUNIT_ASSERT_EQUAL(0,
-                         answer(log, 10, start_ms + 2000).endpoint_news_size());
+    records::EndpointNews report;
+    report.add_failed()->set_id("e0");
+    log.add_report(report, start_ms);
+    CPPUNIT_ASSERT_EQUAL(
+        0, reply_of(log, 10, start_ms + 2000).endpoint_news_size());
   }
 
-  void what_is_left_of_a_lapse_is_told() {
+  void rest_of_the_grace_period_is_sent() {
     watch_log log = log_at(10);
     log.add_endpoints(change(10, 12, "e0", true), start_ms + 2000);
     CPPUNIT_ASSERT_EQUAL(
-        1500U, answer(log, 10, start_ms + 500).endpoints(0).lapse_left_ms());
+        1500U, reply_of(log, 10, start_ms + 500).endpoints(0).lapse_left_ms());
     CPPUNIT_ASSERT_EQUAL(
-        0U, answer(log, 10, start_ms + 5000).endpoints(0).lapse_left_ms());
+        0U, reply_of(log, 10, start_ms + 5000).endpoints(0).lapse_left_ms());
   }
 
-  // A gateway that was cut off from those that watch gets all records, of a
-  // listing that came after an outage a minute ago.
-  void listing_of_long_ago_tells_of_no_lapse() {
+  // An outdated caller gets a listing that followed an outage a minute ago.
+  void old_listing_has_no_grace_period() {
     watch_log log(log_id);
     records::EndpointChanges whole = listing(10, 3);
     whole.set_after_loss(true);
     log.add_endpoints(whole, start_ms + 2000);
-    const records::WatchReply reply = answer(log, 3, start_ms + 60000);
+    const records::WatchReply reply = reply_of(log, 3, start_ms + 60000);
     CPPUNIT_ASSERT(reply.endpoints(0).after_loss());
     CPPUNIT_ASSERT_EQUAL(0U, reply.endpoints(0).lapse_left_ms());
   }
