--- a/include/trayrock/internal/gateway/watch_reply.h
+++ b/include/trayrock/internal/gateway/watch_reply.h
@@ -1,12 +1,12 @@
-// Whether what a gateway that watches the platform has told can be used.
+// Validation of a reply from a gateway that watches the platform.
 //
-// An answer is taken whole or not at all: one that is garbled, too large, from
-// another version, or that does not follow what is known changes nothing, and
-// another gateway is asked.
+// A reply is applied completely or not at all: one that is malformed, too
+// large, of an incompatible version, or doesn't follow the known state changes
+// nothing, and the caller polls another gateway.
 //
 // Example:
-//   if (const std::error_code wrong = check_watch_reply(told, known)) {
-//     ask_another(wrong);
+//   if (const std::error_code error = check_watch_reply(reply, known)) {
+//     poll_another(error);
 //   }
 #pragma once
 
@@ -17,13 +17,13 @@
 
 namespace trayrock {
 
-// How far ahead of what is known a change of the platform can be: with 3,200
-// writes a second, the most that a customer's platform takes, five minutes.
-constexpr std::uint64_t most_revisions_ahead = 1000000;
+// The largest accepted step of the platform's revision: more than the platform
+// can write in five minutes.
+constexpr std::uint64_t max_revisions_ahead = 1000000;
 
-// `known` is the revision up to which the endpoints are known. Errors:
-// errc::wire_garbled, errc::wire_too_large, errc::wire_out_of_step.
-std::error_code check_watch_reply(const records::WatchReply& told,
+// `known` is the revision of the known endpoints. Errors: errc::wire_garbled,
+// errc::wire_too_large, errc::wire_out_of_step.
+std::error_code check_watch_reply(const records::WatchReply& reply,
                                   std::uint64_t known);
 
 }  // namespace trayrock
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -232,8 +232,7 @@
   if (endpoints_.revision() == 0) {
     return;  // a listing is under way
   }
-  const bool possible =
-      revision <= endpoints_.revision() + most_revisions_ahead;
+  const bool possible = revision <= endpoints_.revision() + max_revisions_ahead;
   if (possible) {
     endpoints_.expect(revision);
     return;
--- a/src/gateway/watch_reply.cc
+++ b/src/gateway/watch_reply.cc
@@ -9,31 +9,28 @@
 namespace trayrock {
 namespace {
 
-// Records of endpoints in one answer; the largest target has 2,700 endpoints,
-// each of which may change twice.
-constexpr int most_changes = 10000;
-// News in one answer; more than the gateways of the largest site can send in
-// the second that news are told.
-constexpr int most_news = 1024;
-// Data centres that are emptied at once; more than any customer has.
-constexpr int most_evacuated = 256;
+// Limits of one reply. The largest site has 2,700 endpoints, each of which may
+// change twice.
+constexpr int max_changes = 10000;
+constexpr int max_reports = 1024;
+constexpr int max_evacuated = 256;
 
-bool usable(const records::EndpointChange& change) {
+bool is_usable(const records::EndpointChange& change) {
   return change.removed() ? !change.record().id().empty()
                           : decode(change.record()).has_value();
 }
 
-std::error_code check_endpoints(const records::WatchReply& told,
+std::error_code check_endpoints(const records::WatchReply& reply,
                                 std::uint64_t known) {
   int changes = 0;
-  for (const records::EndpointChanges& each : told.endpoints()) {
+  for (const records::EndpointChanges& each : reply.endpoints()) {
     changes += each.changes_size() + each.unusable_size();
-    if (changes > most_changes) {
+    if (changes > max_changes) {
       return errc::wire_too_large;
     }
     const bool follows = each.whole() || each.after() <= known;
     const bool possible =
-        known == 0 || each.revision() <= known + most_revisions_ahead;
+        known == 0 || each.revision() <= known + max_revisions_ahead;
     if (!follows || !possible) {
       return errc::wire_out_of_step;
     }
@@ -43,7 +40,7 @@
                        return entry.id().empty();
                      });
     if (!named ||
-        !std::all_of(each.changes().begin(), each.changes().end(), usable)) {
+        !std::all_of(each.changes().begin(), each.changes().end(), is_usable)) {
       return errc::wire_garbled;
     }
     known = std::max(known, each.revision());
@@ -51,29 +48,29 @@
   return {};
 }
 
-bool configuration_is_usable(const records::WatchReply& told) {
-  if (told.configuration() == 0) {
+bool has_usable_configuration(const records::WatchReply& reply) {
+  if (reply.configuration() == 0) {
     return true;
   }
   const result<platform::stored_object> object =
-      platform::object_of(told.configuration_document());
+      platform::object_of(reply.configuration_document());
   return object && platform::decode_configuration(object.value());
 }
 
 }  // namespace
 
-std::error_code check_watch_reply(const records::WatchReply& told,
+std::error_code check_watch_reply(const records::WatchReply& reply,
                                   std::uint64_t known) {
-  if (told.endpoint_news_size() > most_news ||
-      told.evacuated_size() > most_evacuated) {
+  if (reply.endpoint_news_size() > max_reports ||
+      reply.evacuated_size() > max_evacuated) {
     return errc::wire_too_large;
   }
   const bool group_is_usable =
-      told.group_revision() == 0 || !told.group().voters().empty();
-  if (!group_is_usable || !configuration_is_usable(told)) {
+      reply.group_revision() == 0 || !reply.group().voters().empty();
+  if (!group_is_usable || !has_usable_configuration(reply)) {
     return errc::wire_garbled;
   }
-  return check_endpoints(told, known);
+  return check_endpoints(reply, known);
 }
 
 }  // namespace trayrock
