--- a/include/trayrock/internal/gateway/watch_server.h
+++ b/include/trayrock/internal/gateway/watch_server.h
@@ -1,14 +1,13 @@
-// Answers gateways that ask this one for what the platform has said.
+// Serves gateways that poll this one for updates from the platform.
 //
-// An answer waits until there is something new, or the asking gateway's time
-// for it is over. A gateway that does not watch the platform, or that the
-// platform does not answer, says so at once: then others ask elsewhere. Its
-// configuration and the proof of it are told all the same, and to a gateway
-// that has just started all that it knows.
+// A reply waits until there is an update or the caller's wait is over. A
+// gateway that doesn't watch the platform, or can't reach it, replies at once
+// that it doesn't, so that callers poll another one. It still sends its
+// configuration with the proof of it and, to a gateway that has just started,
+// all that it has.
 //
 // Example:
-//   watch_server server(loop, log, [] { return watching; }, heard_of_peer,
-//                       add_proof);
+//   watch_server server(loop, log, is_watching, on_peer, add_proof);
 //   server.serve(rpc);
 //   log.add_endpoints(changes);
 //   server.wake();
@@ -27,27 +26,28 @@
 
 class watch_server {
  public:
-  // Told of each gateway that asks, and how far it knows the endpoints.
+  // Receives each caller and its revision of the endpoints.
   using peer_callback =
       std::function<void(const relay_peer&, std::uint64_t revision)>;
 
-  // Adds the proof of this gateway's configuration to an answer.
+  // Adds the proof of this gateway's configuration to a reply.
   using proof_callback = std::function<void(records::WatchReply&)>;
 
-  // `log` outlives the object. `watching` says whether this gateway watches
-  // the platform and is answered.
+  // `log` must outlive the object. `is_watching` returns whether this gateway
+  // watches the platform and reaches it.
   watch_server(event_loop& loop, const watch_log& log,
-               std::function<bool()> watching, peer_callback asked,
-               proof_callback prove);
+               std::function<bool()> is_watching, peer_callback on_peer,
+               proof_callback add_proof);
   watch_server(const watch_server&) = delete;
   watch_server& operator=(const watch_server&) = delete;
 
   void serve(rpc_server& server);
 
-  // The log has grown, or this gateway watches no more.
+  // Replies to the waiting calls for which there is something new. To be called
+  // when the log has changed or this gateway has stopped watching.
   void wake();
 
-  // As above, shortly: more may come.
+  // The same after a short delay, which gathers several updates.
   void wake_soon();
 
  private:
@@ -57,22 +57,23 @@
     std::uint64_t until_ms = 0;
   };
 
-  void take(const records::WatchRequest& request, const rpc_reply_ptr& reply);
+  void receive(const records::WatchRequest& request,
+               const rpc_reply_ptr& reply);
 
   bool fill(const waiting_call& call, records::WatchReply& reply) const;
 
-  // True if the call has been answered.
-  bool answer(const waiting_call& call);
-  void answer_due();
+  // Returns true if the call is finished.
+  bool try_reply(const waiting_call& call);
+  void reply_to_due();
 
   event_loop& loop_;
   const watch_log& log_;
-  std::function<bool()> watching_;
-  peer_callback asked_;
-  proof_callback prove_;
+  std::function<bool()> is_watching_;
+  peer_callback on_peer_;
+  proof_callback add_proof_;
   std::list<waiting_call> waiting_;
-  timer soon_;
-  timer sweeping_;
+  timer wake_timer_;
+  timer sweep_timer_;
 };
 
 }  // namespace trayrock
