--- a/include/trayrock/internal/gateway/watch_follower.h
+++ b/include/trayrock/internal/gateway/watch_follower.h
@@ -1,12 +1,11 @@
-// Asks gateways that watch the platform for what is new, in place of the
-// platform, from the start on.
+// Polls gateways that watch the platform for updates, in place of the platform.
 //
-// Whom it asks, and when this gateway has to watch by itself, is decided by
-// decide/watch_roles.h.
+// decide/watch_roles.h selects the gateway to poll, and decides when this
+// gateway has to watch the platform itself.
 //
 // Example:
 //   watch_follower follower(loop, pool, relays, own, few_watch{}, timing);
-//   follower.start({position, hold, release, take});
+//   follower.start({is_listed, position, pause, resume, apply});
 #pragma once
 
 #include <cstdint>
@@ -23,7 +22,7 @@
 
 namespace trayrock {
 
-// What a gateway knows of the platform; zero: nothing.
+// The platform's revisions that a gateway has; 0: none.
 struct watch_position {
   std::uint64_t endpoints_revision = 0;
   std::uint64_t configuration = 0;  // its version
@@ -32,33 +31,34 @@
 };
 
 struct watch_timing {
-  milliseconds wait{300};  // for something new, in one question
-  // What a question may take beyond its wait, before its answer is lost.
-  milliseconds patience{150};
+  milliseconds wait{300};  // for an update, in one poll
+  // A poll times out this long after its wait.
+  milliseconds reply_timeout{150};
 };
 
-// Times that together stay well within the time in which a leaving endpoint
-// has to be known.
+// Scales the times to `notice`, the time in which all gateways must stop using
+// a draining endpoint.
 watch_timing timing_within(milliseconds notice);
 
 struct follower_handlers {
-  // Whether this gateway has been seen on a list of all.
-  std::function<bool()> listed;
+  // Whether this gateway has been found on a complete list of gateways.
+  std::function<bool()> is_listed;
   std::function<watch_position()> position;
-  // Asks the platform nothing more; false as long as that is not possible.
-  std::function<bool()> hold;
-  // Asks the platform again.
-  std::function<void()> release;
-  // Takes an answer whole, or nothing of it and says why. `asked_ms` is when
-  // the question was sent.
+  // Pauses the own watches of the platform. Returns false while they cannot be
+  // paused.
+  std::function<bool()> pause;
+  // Resumes the own watches.
+  std::function<void()> resume;
+  // Applies a reply completely, or nothing of it and returns an error.
+  // `sent_ms` is when the poll was sent.
   std::function<std::error_code(const records::WatchReply&,
-                                std::uint64_t asked_ms)>
-      take;
+                                std::uint64_t sent_ms)>
+      apply;
 };
 
 class watch_follower {
  public:
-  // All that is passed in by reference outlives the object.
+  // All references must outlive the object.
   watch_follower(event_loop& loop, rpc_pool& pool, const peer_relays& peers,
                  platform::gateway_entry own, watch_sharing sharing,
                  watch_timing timing);
@@ -67,30 +67,30 @@
 
   void start(follower_handlers handlers);
 
-  // A list of all gateways has been read: this one may be to watch.
-  void peers_listed();
+  // A list of all gateways has been read, so that this one's role may change.
+  void on_peers_listed();
 
-  // Whether others watch for this gateway at present.
-  bool following() const { return role_ == role::asks; }
+  // Whether another gateway watches for this one at present.
+  bool is_following() const { return role_ == role::polling; }
 
-  // Whether this gateway is one of those that are to watch.
+  // Whether this gateway is selected as a watcher.
   bool is_watcher() const;
 
-  // The addresses of the gateways that this one's news are for.
+  // The addresses of the gateways to which this one reports.
   std::vector<std::string> watchers() const;
 
  private:
-  enum class role { starts, asks, watches };
+  enum class role { starting, polling, watching };
 
   void step();
-  void act(const ask_watcher& asked);
+  void act(const ask_watcher& watcher);
   void act(const watch_platform&);
   void act(const wait_for_peers&);
-  void answered(const std::string& by, std::uint64_t asked_ms,
+  void on_reply(const std::string& from, std::uint64_t sent_ms,
                 const result<records::WatchReply>& reply);
-  void told_by_watcher(const std::string& by);
-  bool take(const std::string& by, std::uint64_t asked_ms,
-            const records::WatchReply& reply);
+  void on_watcher(const std::string& from);
+  bool apply(const std::string& from, std::uint64_t sent_ms,
+             const records::WatchReply& reply);
   void set_role(role now, const std::string& cause);
   records::WatchRequest request() const;
 
@@ -101,12 +101,12 @@
   watch_timing timing_;
   watch_roles roles_;
   follower_handlers handlers_;
-  role role_ = role::starts;
+  role role_ = role::starting;
   std::uint64_t started_ms_ = 0;
-  std::uint64_t news_log_ = 0;  // of the watcher that was heard last
-  std::uint64_t news_ = 0;      // its last news
-  rpc_call asking_;
-  timer again_;
+  std::uint64_t report_log_ = 0;   // id of the last watcher's log
+  std::uint64_t last_report_ = 0;  // number in that log
+  rpc_call poll_;
+  timer step_timer_;
 };
 
 }  // namespace trayrock
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -140,7 +140,7 @@
       [this](const evacuation_list& held) { take_evacuations(held); });
   watch_endpoints();
   follow();
-  relays_.start([this] { follower_.peers_listed(); });
+  relays_.start([this] { follower_.on_peers_listed(); });
   sweeping_ = loop_.every(sweep_period, [this] { sweep(); });
 }
 
@@ -315,7 +315,7 @@
   parts_.endpoints.set_cold_limits(*configuration_.current());
   log_.set_configuration(held);
   server_.wake();
-  if (!follower_.following()) {
+  if (!follower_.is_following()) {
     news_.note_configuration(held.version);
   }
   changed_();
@@ -369,7 +369,7 @@
   share_cold_endpoints();
   log_.add_endpoints(said, kept_until);
   if (!said.changes().empty() || !said.unusable().empty()) {
-    if (!follower_.following()) {
+    if (!follower_.is_following()) {
       news_.note_endpoints(said.revision());
     }
     server_.wake();
--- a/src/gateway/watch_follower.cc
+++ b/src/gateway/watch_follower.cc
@@ -7,23 +7,23 @@
 namespace trayrock {
 namespace {
 
-// Shares of the time in which a leaving endpoint has to be known. Two watchers
-// that are silent one after the other cost 0.45 of it, and a third of it passes
-// between two watches of theirs.
+// Shares of the time in which gateways must stop using a draining endpoint.
+// They leave room for polls of two unresponsive watchers and for the pause
+// between two watches of the next one.
 constexpr double wait_share = 0.15;
-constexpr double patience_share = 0.075;
-// How often a gateway that watches by itself looks whether it has to.
-constexpr milliseconds role_period{500};
-// While a gateway that has just started knows of no other one.
-constexpr milliseconds start_period{50};
-// Between an answer and the next question, so that a row of changes costs few
-// questions: what is told has waited longer already.
-constexpr milliseconds pause{40};
+constexpr double timeout_share = 0.075;
+// How often a watching gateway checks its role.
+constexpr milliseconds role_check_period{500};
+// How often a starting gateway checks for peers.
+constexpr milliseconds start_check_period{50};
+// Pause between a reply and the next poll, so that consecutive changes need few
+// polls.
+constexpr milliseconds poll_pause{40};
 
 }  // namespace
 
 watch_timing timing_within(milliseconds notice) {
-  return {share_of(notice, wait_share), share_of(notice, patience_share)};
+  return {share_of(notice, wait_share), share_of(notice, timeout_share)};
 }
 
 watch_follower::watch_follower(event_loop& loop, rpc_pool& pool,
@@ -51,44 +51,44 @@
   return roles_.watchers(peers_.peers(), loop_.now_ms());
 }
 
-void watch_follower::peers_listed() {
-  const bool waits =
-      role_ == role::starts && handlers_.position().endpoints_revision == 0;
-  if (waits) {
-    asking_.cancel();
+void watch_follower::on_peers_listed() {
+  const bool has_no_state =
+      role_ == role::starting && handlers_.position().endpoints_revision == 0;
+  if (has_no_state) {
+    poll_.cancel();
     step();
   }
 }
 
 void watch_follower::step() {
-  const auto go_on = [this](const auto& each) { act(each); };
+  const auto act_on = [this](const auto& each) { act(each); };
   const std::uint64_t now = loop_.now_ms();
   if (handlers_.position().endpoints_revision != 0) {
-    std::visit(go_on, roles_.next(peers_.peers(), now));
+    std::visit(act_on, roles_.next(peers_.peers(), now));
     return;
   }
-  const bool asked_platform = role_ == role::watches;
-  std::visit(go_on, asked_platform
-                        ? roles_.beside_platform(peers_.peers(), now)
-                        : roles_.first(peers_.peers(), handlers_.listed(),
-                                       milliseconds(now - started_ms_), now));
+  const bool queries_platform = role_ == role::watching;
+  std::visit(act_on, queries_platform
+                         ? roles_.beside_platform(peers_.peers(), now)
+                         : roles_.first(peers_.peers(), handlers_.is_listed(),
+                                        milliseconds(now - started_ms_), now));
 }
 
 void watch_follower::act(const wait_for_peers&) {
-  again_ = loop_.after(start_period, [this] { step(); });
+  step_timer_ = loop_.after(start_check_period, [this] { step(); });
 }
 
 void watch_follower::act(const watch_platform&) {
-  set_role(role::watches, "platform");
-  again_ = loop_.after(role_period, [this] { step(); });
+  set_role(role::watching, "platform");
+  step_timer_ = loop_.after(role_check_period, [this] { step(); });
 }
 
-void watch_follower::act(const ask_watcher& asked) {
-  asking_ = pool_.ask<records::WatchReply>(
-      asked.address, "Watch", request(), timing_.wait + timing_.patience,
-      [this, by = asked.address,
-       asked_ms = loop_.now_ms()](const result<records::WatchReply>& reply) {
-        answered(by, asked_ms, reply);
+void watch_follower::act(const ask_watcher& watcher) {
+  poll_ = pool_.ask<records::WatchReply>(
+      watcher.address, "Watch", request(), timing_.wait + timing_.reply_timeout,
+      [this, from = watcher.address,
+       sent_ms = loop_.now_ms()](const result<records::WatchReply>& reply) {
+        on_reply(from, sent_ms, reply);
       });
 }
 
@@ -102,45 +102,45 @@
   made.set_configuration(known.configuration);
   made.set_group_revision(known.group_revision);
   made.set_evacuations_revision(known.evacuations_revision);
-  made.set_news_log(news_log_);
-  made.set_news(news_);
+  made.set_news_log(report_log_);
+  made.set_news(last_report_);
   made.set_wait_ms(static_cast<std::uint32_t>(timing_.wait.count()));
   return made;
 }
 
-void watch_follower::answered(const std::string& by, std::uint64_t asked_ms,
+void watch_follower::on_reply(const std::string& from, std::uint64_t sent_ms,
                               const result<records::WatchReply>& reply) {
-  // One that does not watch tells what it knows to those that know nothing.
-  const bool knew_nothing = handlers_.position().endpoints_revision == 0;
-  const bool tells =
+  // A gateway that doesn't watch sends its state to callers that have none.
+  const bool had_no_state = handlers_.position().endpoints_revision == 0;
+  const bool has_content =
       reply && (reply.value().watching() || reply.value().endpoints_size() > 0);
-  if (tells && take(by, asked_ms, reply.value())) {
+  if (has_content && apply(from, sent_ms, reply.value())) {
     if (reply.value().watching()) {
-      told_by_watcher(by);
+      on_watcher(from);
     }
-  } else if (tells || !reply || !knew_nothing) {
-    roles_.unusable(by, loop_.now_ms());
-  }  // else both have just started
-  again_ = loop_.after(pause, [this] { step(); });
+  } else if (has_content || !reply || !had_no_state) {
+    roles_.unusable(from, loop_.now_ms());
+  }  // else: both have just started
+  step_timer_ = loop_.after(poll_pause, [this] { step(); });
 }
 
-void watch_follower::told_by_watcher(const std::string& by) {
-  roles_.heard(by);
-  if (handlers_.hold()) {
-    set_role(role::asks, by);
+void watch_follower::on_watcher(const std::string& from) {
+  roles_.heard(from);
+  if (handlers_.pause()) {
+    set_role(role::polling, from);
   }
 }
 
-bool watch_follower::take(const std::string& by, std::uint64_t asked_ms,
-                          const records::WatchReply& reply) {
-  if (const std::error_code why = handlers_.take(reply, asked_ms)) {
-    log_warn("watcher_refused", {{"watcher", by},
-                                 {"error", std::to_string(why.value())},
-                                 {"cause", why.message()}});
+bool watch_follower::apply(const std::string& from, std::uint64_t sent_ms,
+                           const records::WatchReply& reply) {
+  if (const std::error_code error = handlers_.apply(reply, sent_ms)) {
+    log_warn("watcher_refused", {{"watcher", from},
+                                 {"error", std::to_string(error.value())},
+                                 {"cause", error.message()}});
     return false;
   }
-  news_log_ = reply.news_log();
-  news_ = reply.news();
+  report_log_ = reply.news_log();
+  last_report_ = reply.news();
   return true;
 }
 
@@ -149,11 +149,11 @@
     return;
   }
   role_ = now;
-  const bool watches = now == role::watches;
+  const bool watches = now == role::watching;
   log_info("watch_role",
            {{"role", watches ? "watches" : "asks"}, {"whom", cause}});
   if (watches) {
-    handlers_.release();
+    handlers_.resume();
   }
 }
 
