--- a/include/trayrock/internal/gateway/peer_news.h
+++ b/include/trayrock/internal/gateway/peer_news.h
@@ -1,22 +1,20 @@
-// What gateways tell each other: endpoints that failed requests, endpoints at
-// whose addresses other instances sit, how far they know the platform's records
-// of endpoints, and the configuration that is in force.
+// Notifications between gateways: endpoints that failed requests or were
+// replaced by another instance, the revision of the endpoints' records, and the
+// version of the configuration in force.
 //
-// With many gateways each sees too few requests of one endpoint to notice soon
-// that it fails; together they notice within some tenths of a second. News are
-// sent in batches to the gateways that watch the platform for others
-// (watch_server.h), which pass news of endpoints on to all that ask them;
-// nobody waits for an answer. Lost news of a failure are no harm; the
-// configuration also comes by each gateway's own watch, or from who watches for
-// it.
+// A single gateway may send too few requests to an endpoint to detect quickly
+// that it fails. Notifications are sent in batches, without waiting for a
+// reply, to the gateways that watch the platform for others (watch_server.h),
+// which pass reports of endpoints on to all that poll them. Lost notifications
+// do no harm: the configuration also arrives by each gateway's own watch or by
+// the gateway that watches for it.
 //
 // Example:
 //   peer_news news(loop, pool, receivers, own, news_policy());
-//   news.serve(rpc, {heard_of, on_endpoints_news, on_endpoints,
-//                    on_configuration, held_document, sent});
-//   news.note_failure("endpoint-1");
-//   news.note_superseded("endpoint-2");
-//   news.note_configuration(7);
+//   news.serve(rpc, handlers);
+//   news.note_failure(endpoint);
+//   news.note_superseded(endpoint);
+//   news.announce_configuration(7);
 #pragma once
 
 #include <cstdint>
@@ -37,50 +35,51 @@
 
 namespace trayrock {
 
-struct news_handlers {
-  // A gateway that has told something.
-  std::function<void(const relay_peer&)> sender;
-  // Endpoints that another gateway found failing or superseded.
-  std::function<void(const records::EndpointNews&)> endpoint_news;
-  // Another gateway knows a change of the endpoints' records of this revision.
-  std::function<void(std::uint64_t revision)> endpoints;
-  // Another gateway has sent its configuration, newer than the held one.
-  std::function<void(const configuration_document&)> configuration;
-  // The configuration that this gateway holds.
-  std::function<const configuration_document&()> held;
-  // This gateway's own news of endpoints, as it sends them.
-  std::function<void(const records::EndpointNews&)> sent;
+struct notification_handlers {
+  // Receives the sender of each notification.
+  std::function<void(const relay_peer&)> on_sender;
+  // Another gateway has found endpoints failing or superseded.
+  std::function<void(const records::EndpointNews&)> on_report;
+  // Another gateway has the endpoints' records of this revision.
+  std::function<void(std::uint64_t revision)> on_endpoints_revision;
+  // Another gateway has sent a configuration newer than the current one.
+  std::function<void(const configuration_document&)> on_configuration;
+  // Returns this gateway's configuration.
+  std::function<const configuration_document&()> current_configuration;
+  // This gateway has sent a report.
+  std::function<void(const records::EndpointNews&)> on_sent;
 };
 
 class peer_news {
  public:
-  // All that is passed in by reference outlives the object.
-  // `receivers` gives the addresses of the gateways that are told.
+  // All references must outlive the object. `receivers` returns the addresses
+  // of the gateways to notify.
   peer_news(event_loop& loop, rpc_pool& pool,
             std::function<std::vector<std::string>()> receivers,
             platform::gateway_entry own, news_policy policy);
   peer_news(const peer_news&) = delete;
   peer_news& operator=(const peer_news&) = delete;
 
-  // Hears of news by this server, and hands out the held configuration.
-  void serve(rpc_server& server, news_handlers handlers);
+  // Receives notifications through this server, which also serves requests for
+  // the current configuration.
+  void serve(rpc_server& server, notification_handlers handlers);
 
   // A request of this gateway failed at the endpoint.
   void note_failure(const endpoint_identity& endpoint);
 
-  // This gateway has met another instance at the endpoint's address.
+  // This gateway has found another instance at the endpoint's address.
   void note_superseded(const endpoint_identity& endpoint);
 
-  // This gateway knows the endpoints' records up to this change.
-  void note_endpoints(std::uint64_t revision);
+  // This gateway has the endpoints' records up to this revision.
+  void announce_endpoints_revision(std::uint64_t revision);
 
   // This gateway has a new configuration.
-  void note_configuration(std::uint64_t version);
+  void announce_configuration(std::uint64_t version);
 
  private:
   void send_soon();
   void send();
-  records::GatewayNews batch();
+  records::GatewayNews take_batch();
   void fetch_configuration(const std::string& from);
 
   event_loop& loop_;
@@ -88,14 +87,14 @@
   std::function<std::vector<std::string>()> receivers_;
   platform::gateway_entry own_;
   news_policy policy_;
-  news_handlers handlers_;
+  notification_handlers handlers_;
   std::set<endpoint_identity> failed_endpoints_;      // since the last batch
   std::set<endpoint_identity> superseded_endpoints_;  // likewise
-  std::uint64_t configuration_ = 0;          // to be told with the next batch
-  std::uint64_t endpoints_revision_ = 0;     // likewise
-  std::map<std::string, rpc_call> sending_;  // by the peer's address
-  rpc_call fetching_;
-  timer batch_;
+  std::uint64_t configuration_ = 0;        // to be sent with the next batch
+  std::uint64_t endpoints_revision_ = 0;   // likewise
+  std::map<std::string, rpc_call> calls_;  // by the peer's address
+  rpc_call fetch_call_;
+  timer batch_timer_;
 };
 
 }  // namespace trayrock
--- a/src/gateway/peer_news.cc
+++ b/src/gateway/peer_news.cc
@@ -10,33 +10,32 @@
 namespace trayrock {
 namespace {
 
-// News wait this long for others to be sent with them.
+// Gathers notifications into one message.
 constexpr milliseconds batch_delay{120};
-// Failing endpoints that one batch names at the most.
-constexpr std::size_t most_endpoints = 32;
-// Superseded ones: all endpoints of a service may start anew at once, 84 on
-// the largest site.
-constexpr std::size_t most_superseded = 128;
-constexpr milliseconds news_limit{500};
-// Peers are read from the platform soon after the start; until then news wait.
-constexpr milliseconds no_peers_pause{1000};
-constexpr milliseconds fetch_limit{1000};
-
-bool too_long(const records::GatewayNews& news) {
-  return static_cast<std::size_t>(news.failed_size()) > most_endpoints ||
-         static_cast<std::size_t>(news.superseded_size()) > most_superseded;
+// Endpoints in one batch. All endpoints of a service may be superseded at once.
+constexpr std::size_t max_failed = 32;
+constexpr std::size_t max_superseded = 128;
+constexpr milliseconds send_timeout{500};
+// No peers are known until they have been read from the platform.
+constexpr milliseconds no_peers_retry_delay{1000};
+constexpr milliseconds fetch_timeout{1000};
+
+bool is_too_large(const records::GatewayNews& notification) {
+  return static_cast<std::size_t>(notification.failed_size()) > max_failed ||
+         static_cast<std::size_t>(notification.superseded_size()) >
+             max_superseded;
 }
 
-records::EndpointNews endpoint_news_of(const records::GatewayNews& news) {
+records::EndpointNews report_from(const records::GatewayNews& notification) {
   records::EndpointNews made;
-  made.set_gateway(news.gateway());
-  made.set_id(news.id());
-  *made.mutable_failed() = news.failed();
-  *made.mutable_superseded() = news.superseded();
+  made.set_gateway(notification.gateway());
+  made.set_id(notification.id());
+  *made.mutable_failed() = notification.failed();
+  *made.mutable_superseded() = notification.superseded();
   return made;
 }
 
-std::uint64_t drawn_id() {
+std::uint64_t random_id() {
   static std::mt19937_64 source{std::random_device()()};
   return source();
 }
@@ -52,126 +51,130 @@
       own_(std::move(own)),
       policy_(policy) {}
 
-void peer_news::serve(rpc_server& server, news_handlers handlers) {
+void peer_news::serve(rpc_server& server, notification_handlers handlers) {
   handlers_ = std::move(handlers);
   server.handle_typed<records::GatewayNews>(
-      "News", [this](records::GatewayNews& news, const rpc_reply_ptr& reply) {
+      "News",
+      [this](records::GatewayNews& notification, const rpc_reply_ptr& reply) {
         reply->finish();
-        if (too_long(news)) {
+        if (is_too_large(notification)) {
           log_warn("news_refused",
-                   {{"gateway", news.gateway()},
+                   {{"gateway", notification.gateway()},
                     {"error",
                      std::to_string(static_cast<int>(errc::wire_too_large))}});
           return;
         }
-        handlers_.sender({news.gateway(), news.address(), news.data_centre()});
-        if (news.failed_size() + news.superseded_size() > 0) {
-          handlers_.endpoint_news(endpoint_news_of(news));
+        handlers_.on_sender({notification.gateway(), notification.address(),
+                             notification.data_centre()});
+        if (notification.failed_size() + notification.superseded_size() > 0) {
+          handlers_.on_report(report_from(notification));
         }
-        if (news.endpoints_revision() != 0) {
-          handlers_.endpoints(news.endpoints_revision());
+        if (notification.endpoints_revision() != 0) {
+          handlers_.on_endpoints_revision(notification.endpoints_revision());
         }
-        if (news.configuration() > handlers_.held().version) {
-          fetch_configuration(news.address());
+        if (notification.configuration() >
+            handlers_.current_configuration().version) {
+          fetch_configuration(notification.address());
         }
       });
   server.handle_typed<records::ConfigurationRequest>(
       "Configuration",
       [this](records::ConfigurationRequest&, const rpc_reply_ptr& reply) {
-        records::ConfigurationReply answer;
-        answer.set_version(handlers_.held().version);
-        answer.set_document(handlers_.held().text);
-        reply->send(answer);
+        records::ConfigurationReply message;
+        message.set_version(handlers_.current_configuration().version);
+        message.set_document(handlers_.current_configuration().text);
+        reply->send(message);
         reply->finish();
       });
 }
 
 void peer_news::note_failure(const endpoint_identity& endpoint) {
-  if (policy_.failures && failed_endpoints_.size() < most_endpoints) {
+  if (policy_.failures && failed_endpoints_.size() < max_failed) {
     failed_endpoints_.insert(endpoint);
     send_soon();
   }
 }
 
 void peer_news::note_superseded(const endpoint_identity& endpoint) {
-  if (policy_.superseded && superseded_endpoints_.size() < most_superseded) {
+  if (policy_.superseded && superseded_endpoints_.size() < max_superseded) {
     superseded_endpoints_.insert(endpoint);
     send_soon();
   }
 }
 
-void peer_news::note_endpoints(std::uint64_t revision) {
+void peer_news::announce_endpoints_revision(std::uint64_t revision) {
   if (policy_.revisions && revision > endpoints_revision_) {
     endpoints_revision_ = revision;
     send_soon();
   }
 }
 
-void peer_news::note_configuration(std::uint64_t version) {
+void peer_news::announce_configuration(std::uint64_t version) {
   configuration_ = version;
   send_soon();
 }
 
 void peer_news::send_soon() {
-  if (!batch_.pending()) {
-    batch_ = loop_.after(batch_delay, [this] { send(); });
+  if (!batch_timer_.pending()) {
+    batch_timer_ = loop_.after(batch_delay, [this] { send(); });
   }
 }
 
-records::GatewayNews peer_news::batch() {
-  records::GatewayNews news;
-  news.set_gateway(own_.name);
-  news.set_address(own_.address);
-  news.set_data_centre(own_.data_centre);
-  news.set_id(drawn_id());
-  news.set_configuration(configuration_);
-  news.set_endpoints_revision(endpoints_revision_);
+records::GatewayNews peer_news::take_batch() {
+  records::GatewayNews notification;
+  notification.set_gateway(own_.name);
+  notification.set_address(own_.address);
+  notification.set_data_centre(own_.data_centre);
+  notification.set_id(random_id());
+  notification.set_configuration(configuration_);
+  notification.set_endpoints_revision(endpoints_revision_);
   for (const endpoint_identity& each : failed_endpoints_) {
-    *news.add_failed() = encode(each);
+    *notification.add_failed() = encode(each);
   }
   for (const endpoint_identity& each : superseded_endpoints_) {
-    *news.add_superseded() = encode(each);
+    *notification.add_superseded() = encode(each);
   }
   failed_endpoints_.clear();
   superseded_endpoints_.clear();
   configuration_ = 0;
   endpoints_revision_ = 0;
-  return news;
+  return notification;
 }
 
 void peer_news::send() {
   const std::vector<std::string> peers = receivers_();
   if (peers.empty()) {
-    batch_ = loop_.after(no_peers_pause, [this] { send(); });
+    batch_timer_ = loop_.after(no_peers_retry_delay, [this] { send(); });
     return;
   }
-  const records::GatewayNews news = batch();
-  if (news.failed_size() + news.superseded_size() > 0) {
-    handlers_.sent(endpoint_news_of(news));
+  const records::GatewayNews notification = take_batch();
+  if (notification.failed_size() + notification.superseded_size() > 0) {
+    handlers_.on_sent(report_from(notification));
   }
   for (const std::string& peer : peers) {
-    if (!sending_[peer].running()) {  // a silent peer gets no second batch
-      sending_[peer] =
-          pool_.start(peer, "News", news, news_limit, nullptr, nullptr);
+    if (!calls_[peer].running()) {  // skips peers with a call in progress
+      calls_[peer] = pool_.start(peer, "News", notification, send_timeout,
+                                 nullptr, nullptr);
     }
   }
 }
 
 void peer_news::fetch_configuration(const std::string& from) {
-  if (fetching_.running()) {
+  if (fetch_call_.running()) {
     return;
   }
-  fetching_ = pool_.ask<records::ConfigurationReply>(
-      from, "Configuration", records::ConfigurationRequest(), fetch_limit,
-      [this, from](const result<records::ConfigurationReply>& answer) {
-        if (!answer) {
+  fetch_call_ = pool_.ask<records::ConfigurationReply>(
+      from, "Configuration", records::ConfigurationRequest(), fetch_timeout,
+      [this, from](const result<records::ConfigurationReply>& reply) {
+        if (!reply) {
           log_info("peer_configuration_unknown",
-                   {{"peer", from}, {"cause", answer.error().message()}});
+                   {{"peer", from}, {"cause", reply.error().message()}});
           return;
         }
-        if (answer.value().version() > handlers_.held().version) {
-          handlers_.configuration(
-              {answer.value().version(), answer.value().document()});
+        if (reply.value().version() >
+            handlers_.current_configuration().version) {
+          handlers_.on_configuration(
+              {reply.value().version(), reply.value().document()});
         }
       });
 }
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -316,7 +316,7 @@
   log_.set_configuration(held);
   server_.wake();
   if (!follower_.is_following()) {
-    news_.note_configuration(held.version);
+    news_.announce_configuration(held.version);
   }
   changed_();
 }
@@ -370,7 +370,7 @@
   log_.add_endpoints(said, kept_until);
   if (!said.changes().empty() || !said.unusable().empty()) {
     if (!follower_.is_following()) {
-      news_.note_endpoints(said.revision());
+      news_.announce_endpoints_revision(said.revision());
     }
     server_.wake();
   }
