--- a/include/trayrock/internal/gateway/peer_relays.h
+++ b/include/trayrock/internal/gateway/peer_relays.h
@@ -1,8 +1,9 @@
-// Other gateways as relays to record stores that this one cannot reach.
+// Other gateways as relays to record stores that this one can't reach.
 //
-// A gateway that is cut off from the stores asks another gateway to pass its
-// calls on, so that its clients' programs go on. Peers are read from the
-// platform soon after the start, and again when all known ones have failed.
+// A gateway that is partitioned from the stores sends its calls through another
+// gateway, so that its clients' programs continue. The list of peers is read
+// from the platform after the start, and again once all known peers have
+// failed.
 //
 // Example:
 //   peer_relays relays(loop, registry, own);
@@ -28,52 +29,50 @@
   peer_relays(const peer_relays&) = delete;
   peer_relays& operator=(const peer_relays&) = delete;
 
-  // Makes this gateway known to the others, unless an earlier life of it is
-  // known by the same address. `listed` is told once a list has been read that
-  // this gateway is on.
-  void start(std::function<void()> listed);
+  // Registers this gateway, unless an entry of an earlier run has the same
+  // address. `on_listed` is called once a list of gateways includes this one.
+  void start(std::function<void()> on_listed);
 
-  // What a client of the record stores needs to use the peers.
+  // The interface by which a client of the record stores uses the peers.
   relay_source source();
 
-  // Adds a peer that made itself known.
+  // Adds a peer that has contacted this gateway.
   void add(const relay_peer& peer) { choice_.add(peer); }
 
-  // All that are known, without this gateway.
+  // The known peers, without this gateway.
   std::vector<relay_peer> peers() const { return choice_.peers(); }
 
-  // Whether a list of them has been read that this gateway was on.
-  bool are_known() const { return known_; }
+  // Whether a list of gateways has included this one.
+  bool is_listed() const { return is_listed_; }
 
  private:
   std::string pick();
-  void take(const std::vector<platform::gateway_entry>& listed);
+  void update_peers(const std::vector<platform::gateway_entry>& listed);
   bool is_among(const std::vector<platform::gateway_entry>& listed) const;
   void announce();
-  void look_for_self();
-  void look_answered(const result<std::vector<platform::gateway_entry>>& found);
-  void look_for_peers();
-  void take_if_listed(
-      const result<std::vector<platform::gateway_entry>>& found);
+  void find_own_entry();
+  void on_list(const result<std::vector<platform::gateway_entry>>& found);
+  void refresh_peers();
+  void apply_list(const result<std::vector<platform::gateway_entry>>& found);
 
   event_loop& loop_;
   platform::gateway_registry& registry_;
   platform::gateway_entry own_;
   relay_choice choice_;
-  bool looking_ = false;
-  bool known_ = false;
-  std::function<void()> listed_;
-  int looks_ = 0;  // lists of all that were read for this gateway itself
+  bool refreshing_ = false;
+  bool is_listed_ = false;
+  std::function<void()> on_listed_;
+  int lists_read_ = 0;  // while searching for the own entry
   bool announcing_ = false;
   bool announced_ = false;
-  milliseconds look_patience_;
-  std::uint64_t looked_at_ms_ = 0;
-  timer again_;
+  milliseconds list_repeat_delay_;
+  std::uint64_t refreshed_at_ms_ = 0;
+  timer retry_timer_;
 };
 
-// Registers the method by which a gateway passes calls on for others. A store
-// that `own` does not reach either is answered for at once. All outlive the
-// server.
+// Registers the method by which a gateway relays calls for others. A call to a
+// store that `own` can't reach either fails at once. All references must
+// outlive the server.
 void serve_relays(rpc_server& server, rpc_pool& pool, const record_client& own);
 
 }  // namespace trayrock
--- a/src/gateway/peer_relays.cc
+++ b/src/gateway/peer_relays.cc
@@ -8,32 +8,33 @@
 namespace trayrock {
 namespace {
 
-constexpr milliseconds announce_pause{1000};
-// Gateways that start together have announced themselves by then. The list is
-// read ahead, since a cut may take the platform away with the stores.
-constexpr milliseconds first_listing_delay{500};
-// Lists that may be old are read until this gateway is on one, so many times.
-// They cost a tenth.
-constexpr int most_old_listings = 4;
-// The first repetition of a list without an answer, and the longest pause.
-constexpr milliseconds first_look_patience{250};
-constexpr milliseconds longest_look_patience{1000};
-// Least time between two listings of the gateways.
-constexpr std::uint64_t listing_pause_ms = 1000;
-// Less than the asking gateway waits for its relay.
-constexpr milliseconds relayed_call_limit{300};
-
-// Passes a call on to a store, and the store's answer back. The call's handle
-// lives until then.
+constexpr milliseconds announce_retry_delay{1000};
+// Time for gateways that start together to register, before the list is read.
+// It is read early, since a partition may cut off the platform and the stores
+// together.
+constexpr milliseconds list_delay{500};
+// Possibly stale lists, which are cheaper, are accepted this many times while
+// they don't include this gateway.
+constexpr int max_stale_lists = 4;
+// Delays before a list request without a response is repeated.
+constexpr milliseconds initial_list_repeat_delay{250};
+constexpr milliseconds max_list_repeat_delay{1000};
+constexpr std::uint64_t min_refresh_interval_ms = 1000;
+// Less than the caller's timeout for its relay.
+constexpr milliseconds relayed_call_timeout{300};
+
+// Relays a call to a store and the store's reply back. The callback keeps the
+// call's handle alive until then.
 template <typename reply_type>
-void pass_on(rpc_pool& pool, const std::string& store, std::string_view method,
-             const google::protobuf::MessageLite& request,
-             const rpc_reply_ptr& reply) {
+void relay_call(rpc_pool& pool, const std::string& store,
+                std::string_view method,
+                const google::protobuf::MessageLite& request,
+                const rpc_reply_ptr& reply) {
   auto call = std::make_shared<rpc_call>();
-  *call = pool.ask<reply_type>(store, method, request, relayed_call_limit,
-                               [reply, call](const result<reply_type>& answer) {
-                                 if (answer) {
-                                   reply->send(answer.value());
+  *call = pool.ask<reply_type>(store, method, request, relayed_call_timeout,
+                               [reply, call](const result<reply_type>& found) {
+                                 if (found) {
+                                   reply->send(found.value());
                                  }
                                  reply->finish();
                                });
@@ -47,57 +48,57 @@
       registry_(registry),
       own_(std::move(own)),
       choice_(own_.name, own_.data_centre),
-      look_patience_(first_look_patience) {}
+      list_repeat_delay_(initial_list_repeat_delay) {}
 
-// An entry stays when a process ends. Of 91 gateways that lose power together
-// each saves two of three calls by looking first, at a tenth of a call's price.
-void peer_relays::start(std::function<void()> listed) {
-  listed_ = std::move(listed);
-  look_for_self();
+// Entries outlive their processes. After a power loss most gateways find
+// theirs, which is cheaper than registering again.
+void peer_relays::start(std::function<void()> on_listed) {
+  on_listed_ = std::move(on_listed);
+  find_own_entry();
 }
 
-// A list without an answer is asked for again beside the first: a call to a
-// platform that is silent is lost even if it is back in the next moment.
-void peer_relays::look_for_self() {
-  const bool may_be_old = looks_ < most_old_listings;
+// Repeats a request without a response while the first one is pending: a
+// platform that was down when it received a call may never respond to it.
+void peer_relays::find_own_entry() {
+  const bool accepts_stale = lists_read_ < max_stale_lists;
   registry_.list(
       [this](const result<std::vector<platform::gateway_entry>>& found) {
-        look_answered(found);
+        on_list(found);
       },
-      may_be_old ? platform::freshness::may_be_old
-                 : platform::freshness::current);
-  again_ = loop_.after(look_patience_, [this] { look_for_self(); });
-  look_patience_ =
-      std::min(look_patience_ + look_patience_ / 2, longest_look_patience);
+      accepts_stale ? platform::freshness::may_be_old
+                    : platform::freshness::current);
+  retry_timer_ = loop_.after(list_repeat_delay_, [this] { find_own_entry(); });
+  list_repeat_delay_ = std::min(list_repeat_delay_ + list_repeat_delay_ / 2,
+                                max_list_repeat_delay);
 }
 
-void peer_relays::look_answered(
+void peer_relays::on_list(
     const result<std::vector<platform::gateway_entry>>& found) {
-  if (known_ || !found) {
+  if (is_listed_ || !found) {
     return;
   }
-  ++looks_;
-  again_.cancel();
-  take_if_listed(found);
-  if (known_) {
+  ++lists_read_;
+  retry_timer_.cancel();
+  apply_list(found);
+  if (is_listed_) {
     return;
   }
   if (announced_) {
-    again_ = loop_.after(first_listing_delay, [this] { look_for_self(); });
+    retry_timer_ = loop_.after(list_delay, [this] { find_own_entry(); });
   } else if (!announcing_) {
     announce();
   }
 }
 
-void peer_relays::take_if_listed(
+void peer_relays::apply_list(
     const result<std::vector<platform::gateway_entry>>& found) {
   if (!found) {
     return;
   }
-  take(found.value());
-  if (!known_ && is_among(found.value())) {
-    known_ = true;
-    listed_();
+  update_peers(found.value());
+  if (!is_listed_ && is_among(found.value())) {
+    is_listed_ = true;
+    on_listed_();
   }
 }
 
@@ -113,15 +114,16 @@
 
 void peer_relays::announce() {
   announcing_ = true;
-  registry_.announce(own_, [this](bool known) {
+  registry_.announce(own_, [this](bool done) {
     announcing_ = false;
-    announced_ = known;
-    again_ = loop_.after(known ? first_listing_delay : announce_pause,
-                         [this] { look_for_self(); });
+    announced_ = done;
+    retry_timer_ = loop_.after(done ? list_delay : announce_retry_delay,
+                               [this] { find_own_entry(); });
   });
 }
 
-void peer_relays::take(const std::vector<platform::gateway_entry>& listed) {
+void peer_relays::update_peers(
+    const std::vector<platform::gateway_entry>& listed) {
   std::vector<relay_peer> peers;
   peers.reserve(listed.size());
   for (const platform::gateway_entry& each : listed) {
@@ -146,28 +148,28 @@
 std::string peer_relays::pick() {
   const std::uint64_t now = loop_.now_ms();
   if (choice_.exhausted(now)) {
-    look_for_peers();
+    refresh_peers();
   }
   return choice_.pick(now);
 }
 
-void peer_relays::look_for_peers() {
+void peer_relays::refresh_peers() {
   const std::uint64_t now = loop_.now_ms();
   const bool recent =
-      looked_at_ms_ != 0 && now - looked_at_ms_ < listing_pause_ms;
-  if (looking_ || recent) {
+      refreshed_at_ms_ != 0 && now - refreshed_at_ms_ < min_refresh_interval_ms;
+  if (refreshing_ || recent) {
     return;
   }
-  looking_ = true;
-  looked_at_ms_ = now;
+  refreshing_ = true;
+  refreshed_at_ms_ = now;
   registry_.list(
       [this](const result<std::vector<platform::gateway_entry>>& found) {
-        looking_ = false;
+        refreshing_ = false;
         if (!found) {
           log_warn("peers_unknown", {{"cause", found.error().message()}});
           return;
         }
-        take_if_listed(found);
+        apply_list(found);
       });
 }
 
@@ -184,11 +186,11 @@
           return;
         }
         if (for_permit) {
-          pass_on<records::PermitReply>(pool, request.address(), "Permit",
-                                        request.permit(), reply);
+          relay_call<records::PermitReply>(pool, request.address(), "Permit",
+                                           request.permit(), reply);
         } else {
-          pass_on<records::WriteReply>(pool, request.address(), "Write",
-                                       request.write(), reply);
+          relay_call<records::WriteReply>(pool, request.address(), "Write",
+                                          request.write(), reply);
         }
       });
 }
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -177,7 +177,7 @@
 // A gateway that does not know yet who else is there has no share: it may be
 // one of many that have just started.
 void platform_view::share_cold_endpoints() {
-  if (!relays_.are_known()) {
+  if (!relays_.is_listed()) {
     return;
   }
   const std::vector<relay_peer> peers = relays_.peers();
@@ -220,7 +220,7 @@
 
 void platform_view::follow() {
   follower_.start(
-      {[this] { return relays_.are_known(); }, [this] { return position(); },
+      {[this] { return relays_.is_listed(); }, [this] { return position(); },
        [this] { return hold(); }, [this] { release(); },
        [this](const records::WatchReply& told, std::uint64_t asked_ms) {
          return take_told(told, asked_ms);
