--- a/include/trayrock/internal/gateway/platform_view.h
+++ b/include/trayrock/internal/gateway/platform_view.h
@@ -1,15 +1,15 @@
-// What the platform says, kept up to date in a gateway: the configuration in
-// force, the endpoints, and the record stores' group.
+// The gateway's view of the platform: the configuration in force, the endpoints
+// and the record stores' group.
 //
-// It comes from this gateway's own watches, or from a gateway that watches for
-// others; what other gateways tell of endpoints goes the same ways.
+// Updates come from this gateway's own watches or from a gateway that watches
+// for others. Reports of endpoints by other gateways arrive here as well.
 //
 // Example:
 //   platform_view view(loop, pool, objects, settings, policy,
 //                      {endpoints, records, metrics});
 //   view.serve(peers);
 //   view.start([] { begin_serving_if_ready(); });
-//   if (const configuration_ptr held = view.configuration()) serve(*held);
+//   if (const auto current = view.configuration()) serve(*current);
 #pragma once
 
 #include <cstdint>
@@ -37,8 +37,8 @@
 
 namespace trayrock {
 
-// What the view keeps up to date beside itself.
-struct view_parts {
+// What the view updates besides itself.
+struct view_targets {
   endpoint_directory& endpoints;
   record_client& records;
   metrics_registry& metrics;
@@ -46,18 +46,18 @@
 
 class platform_view {
  public:
-  // All that is passed in by reference outlives the object.
+  // All references must outlive the object.
   platform_view(event_loop& loop, rpc_pool& pool,
                 platform::object_store& objects,
                 const gateway_settings& settings, const gateway_policy& policy,
-                view_parts parts);
+                view_targets targets);
   platform_view(const platform_view&) = delete;
   platform_view& operator=(const platform_view&) = delete;
 
-  // Answers other gateways by this server.
+  // Serves other gateways through this server.
   void serve(rpc_server& server);
 
-  // `changed` is told of each change by which the gateway may get ready.
+  // `changed` is called after each update that may make the gateway ready.
   void start(std::function<void()> changed);
 
   // nullptr: none is known yet.
@@ -65,61 +65,62 @@
     return configuration_.current();
   }
 
-  // Whether requests that need a key may be served: the configuration was the
-  // newest one a short time ago.
+  // Whether requests that require a key may be served: the configuration is
+  // known to be recent enough.
   bool is_configuration_proven() const { return configuration_.is_proven(); }
 
-  // Milliseconds since the platform, or who watches it, last answered about
-  // the endpoints.
+  // Milliseconds since the last response about the endpoints, from the platform
+  // or the gateway that watches it.
   std::uint64_t endpoints_age_ms() const { return endpoints_.silence_ms(); }
 
-  // A request of this gateway failed at the endpoint, or found another
-  // instance at its address.
-  void note_failure(const endpoint_identity& at) { news_.note_failure(at); }
+  // Reports to other gateways that a request failed at the endpoint, or that
+  // another instance has its address.
+  void note_failure(const endpoint_identity& at) { notifier_.note_failure(at); }
   void note_superseded(const endpoint_identity& at) {
-    news_.note_superseded(at);
+    notifier_.note_superseded(at);
   }
 
   peer_relays& relays() { return relays_; }
 
-  // Asks a peer for nothing but an answer, which tells `heard`.
-  void ask_sign_of_life(std::function<void()> heard);
+  // Probes a peer; `on_reply` is called if it replies.
+  void ask_sign_of_life(std::function<void()> on_reply);
 
  private:
   void watch_endpoints();
   void follow();
 
-  bool hold();
-  void release();
-  bool watching() const;
+  bool pause_watches();
+  void resume_watches();
+  bool is_watching() const;
   watch_position position() const;
-  std::error_code take_told(const records::WatchReply& told,
-                            std::uint64_t asked_ms);
-  void expect(std::uint64_t revision);
-
-  void take_group(const records::Group& group);
-  void adopted(const configuration_document& held);
-  void take_evacuations(const evacuation_list& held);
-  void apply(const records::EndpointChanges& said, const answer_times& times);
-  std::uint64_t apply_listing(const records::EndpointChanges& said,
+  std::error_code apply_reply(const records::WatchReply& reply,
+                              std::uint64_t sent_ms);
+  void expect_revision(std::uint64_t revision);
+
+  void apply_group(const records::Group& group);
+  void on_configuration(const configuration_document& current);
+  void apply_evacuations(const evacuation_list& current);
+  void apply(const records::EndpointChanges& changes,
+             const answer_times& times);
+  std::uint64_t apply_listing(const records::EndpointChanges& changes,
                               const answer_times& times);
-  std::uint64_t apply_changes(const records::EndpointChanges& said,
+  std::uint64_t apply_changes(const records::EndpointChanges& changes,
                               const answer_times& times);
-  void take_news(const records::EndpointNews& news);
-  void pass_on(const records::EndpointNews& news);
-  bool is_new(const records::EndpointNews& news);
+  void apply_report(const records::EndpointNews& report);
+  void forward_report(const records::EndpointNews& report);
+  bool is_new(const records::EndpointNews& report);
 
-  void withdraw(const records::EndpointChanges& said);
-  void note_start(const endpoint& listed);
+  void withdraw(const records::EndpointChanges& changes);
+  void log_restart(const endpoint& listed);
   void share_cold_endpoints();
   void sweep();
-  answer_times answered_now() const;
-  answer_times told_now(const records::EndpointChanges& told) const;
+  answer_times platform_times() const;
+  answer_times reply_times(const records::EndpointChanges& changes) const;
 
   event_loop& loop_;
   rpc_pool& pool_;
   platform::object_store& objects_;
-  view_parts parts_;
+  view_targets targets_;
   relay_peer own_;
   platform::group_registry registry_;
   platform::collection_watcher endpoints_;
@@ -127,15 +128,15 @@
   peer_relays relays_;
   configuration_view configuration_;
   evacuation_view evacuations_;
-  endpoint_entries entries_;
+  endpoint_entries decoder_;
   watch_log log_;
   watch_follower follower_;
   watch_server server_;
-  peer_news news_;
+  peer_news notifier_;
   std::function<void()> changed_;
-  std::map<std::uint64_t, std::uint64_t> news_seen_ms_;  // when, by id
-  timer sweeping_;
-  rpc_call asking_sign_;
+  std::map<std::uint64_t, std::uint64_t> reports_received_ms_;  // by id
+  timer sweep_timer_;
+  rpc_call probe_call_;
 };
 
 }  // namespace trayrock
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -12,48 +12,42 @@
 namespace trayrock {
 namespace {
 
-// How long watches of the platform wait. Apart, so that a platform that has
-// forgotten them shows by one of them within a few seconds.
+// Waits of the watches. They differ, so that watches that the platform has lost
+// are detected by one of them within a few seconds.
 constexpr milliseconds configuration_wait{5000};
 constexpr milliseconds endpoints_wait{9000};
 constexpr milliseconds evacuations_wait{13000};
 constexpr milliseconds evacuations_pause{10};
-// Configurations may come in quick succession. Between two watches passes this
-// share of the time that one has to be in force; with 100 ms, 15 gateways made
-// 218 calls in two seconds of such a row.
+// Pause between two watches, which limits the calls for consecutive changes, as
+// a share of the time in which a configuration must be in force.
 constexpr double configuration_pause_share = 0.15;
-// Endpoints register and leave in numbers, and each watch costs a call. This
-// share of the time in which a leaving endpoint must be known is spent between
-// two watches; the rest is for a slow platform and a busy processor.
+// The same as a share of the time in which gateways must stop using a draining
+// endpoint. The rest is for a slow platform and a busy processor.
 constexpr double endpoints_pause_share = 0.35;
-constexpr milliseconds longest_endpoints_pause{1000};
-// A gateway that has just listed all watches only after this share of it, in
-// which it may find others that watch.
-constexpr double first_pause_share = 0.3;
-// News are told for a second (gateway/watch_log.cc), by gateways whose clocks
-// do not run together.
-constexpr std::uint64_t news_memory_ms = 3000;
-// How often endpoints are dropped whose time is over.
+constexpr milliseconds max_endpoints_pause{1000};
+// Pause between the first listing and the first watch, in which another gateway
+// that watches may be found; a share of the same time.
+constexpr double initial_pause_share = 0.3;
+// Reports are forwarded for a second (gateway/watch_log.cc). Longer, since the
+// gateways' clocks differ.
+constexpr std::uint64_t report_memory_ms = 3000;
 constexpr milliseconds sweep_period{250};
-// Peers answer in some ms; another one is asked after this.
-constexpr milliseconds sign_limit{250};
+constexpr milliseconds probe_timeout{250};
 
 platform::gateway_entry entry_of(const service_settings& from) {
   return {from.name, from.rpc_address.text(), from.data_centre};
 }
 
 milliseconds endpoints_pause(milliseconds notice) {
-  return std::min(share_of(notice, endpoints_pause_share),
-                  longest_endpoints_pause);
+  return std::min(share_of(notice, endpoints_pause_share), max_endpoints_pause);
 }
 
-// Gateways find each other within about half a second of their start.
-milliseconds first_pause(milliseconds notice) {
-  return share_of(notice, first_pause_share);
+milliseconds initial_pause(milliseconds notice) {
+  return share_of(notice, initial_pause_share);
 }
 
-// Evacuations are single and urgent; an outage of the platform shows by the
-// other watches.
+// Evacuations are rare and urgent, hence the short pause; the other watches
+// detect an outage of the platform.
 std::optional<platform::watch_pace> evacuation_pace(
     const gateway_settings& settings, const gateway_policy& policy) {
   if (!settings.evacuation_notice) {
@@ -61,7 +55,7 @@
   }
   return platform::watch_pace{evacuations_wait, evacuations_pause,
                               policy.repeats_listings,
-                              first_pause(settings.endpoint_notice)};
+                              initial_pause(settings.endpoint_notice)};
 }
 
 std::uint64_t random_number() {
@@ -74,114 +68,118 @@
 platform_view::platform_view(event_loop& loop, rpc_pool& pool,
                              platform::object_store& objects,
                              const gateway_settings& settings,
-                             const gateway_policy& policy, view_parts parts)
+                             const gateway_policy& policy, view_targets targets)
     : loop_(loop),
       pool_(pool),
       objects_(objects),
-      parts_(parts),
+      targets_(targets),
       own_{settings.service.name, settings.service.rpc_address.text(),
            settings.service.data_centre},
       registry_(loop, objects, policy.repeats_listings),
       endpoints_(
           loop, objects, platform::kind_endpoints,
           {endpoints_wait, endpoints_pause(settings.endpoint_notice),
-           policy.repeats_listings, first_pause(settings.endpoint_notice)}),
+           policy.repeats_listings, initial_pause(settings.endpoint_notice)}),
       gateways_(objects),
       relays_(loop, gateways_, entry_of(settings.service)),
       configuration_(
           loop, pool, objects, relays_, settings,
           {proving_wait(settings.revocation_limit, configuration_wait),
            share_of(settings.configuration_notice, configuration_pause_share),
-           policy.repeats_listings, first_pause(settings.endpoint_notice)},
-          parts.metrics),
+           policy.repeats_listings, initial_pause(settings.endpoint_notice)},
+          targets.metrics),
       evacuations_(loop, objects, evacuation_pace(settings, policy)),
-      entries_(parts.metrics),
+      decoder_(targets.metrics),
       log_(random_number()),
       follower_(loop, pool, relays_, entry_of(settings.service), policy.watches,
                 timing_within(settings.endpoint_notice)),
       server_(
-          loop, log_, [this] { return watching(); },
+          loop, log_, [this] { return is_watching(); },
           [this](const relay_peer& peer, std::uint64_t revision) {
             relays_.add(peer);
-            expect(revision);
+            expect_revision(revision);
           },
           [this](records::WatchReply& reply) {
             configuration_.add_proof(reply);
           }),
-      news_(
+      notifier_(
           loop, pool, [this] { return follower_.watchers(); },
           entry_of(settings.service), policy.news) {}
 
 void platform_view::serve(rpc_server& server) {
   server_.serve(server);
-  news_.serve(server,
-              {[this](const relay_peer& peer) { relays_.add(peer); },
-               [this](const records::EndpointNews& news) {
-                 pass_on(news);
-                 take_news(news);
+  notifier_.serve(
+      server, {[this](const relay_peer& peer) { relays_.add(peer); },
+               [this](const records::EndpointNews& report) {
+                 forward_report(report);
+                 apply_report(report);
                },
-               [this](std::uint64_t revision) { expect(revision); },
+               [this](std::uint64_t revision) { expect_revision(revision); },
                [this](const configuration_document& document) {
                  configuration_.apply_document(document);
                },
                [this]() -> const configuration_document& {
                  return configuration_.document();
                },
-               [this](const records::EndpointNews& news) { pass_on(news); }});
+               [this](const records::EndpointNews& report) {
+                 forward_report(report);
+               }});
 }
 
 void platform_view::start(std::function<void()> changed) {
   changed_ = std::move(changed);
   registry_.follow_group(
-      [this](const records::Group& group) { take_group(group); });
-  configuration_.start(
-      [this](const configuration_document& held) { adopted(held); });
+      [this](const records::Group& group) { apply_group(group); });
+  configuration_.start([this](const configuration_document& current) {
+    on_configuration(current);
+  });
   evacuations_.start(
-      [this](const evacuation_list& held) { take_evacuations(held); });
+      [this](const evacuation_list& current) { apply_evacuations(current); });
   watch_endpoints();
   follow();
   relays_.start([this] { follower_.on_peers_listed(); });
-  sweeping_ = loop_.every(sweep_period, [this] { sweep(); });
+  sweep_timer_ = loop_.every(sweep_period, [this] { sweep(); });
 }
 
-// What the platform has answered just now.
-answer_times platform_view::answered_now() const {
+// The times of a response that the platform has just sent.
+answer_times platform_view::platform_times() const {
   return {loop_.now_ms(), objects_.unserved_at_ms()};
 }
 
-// What a gateway that watches has told just now: it knows better when the
-// platform came back.
-answer_times platform_view::told_now(
-    const records::EndpointChanges& told) const {
+// The times of a reply that has just come from a watching gateway, which sent
+// the rest of the grace period.
+answer_times platform_view::reply_times(
+    const records::EndpointChanges& changes) const {
   const std::uint64_t now = loop_.now_ms();
-  return {now, 0, now + told.lapse_left_ms()};
+  return {now, 0, now + changes.lapse_left_ms()};
 }
 
 void platform_view::sweep() {
   share_cold_endpoints();
-  const std::vector<std::string> gone = parts_.endpoints.sweep(loop_.now_ms());
-  if (!gone.empty()) {
-    log_info("unlisted_endpoints_dropped", {{"endpoints", ids_text(gone)}});
+  const std::vector<std::string> dropped =
+      targets_.endpoints.sweep(loop_.now_ms());
+  if (!dropped.empty()) {
+    log_info("unlisted_endpoints_dropped", {{"endpoints", ids_text(dropped)}});
   }
-  parts_.metrics.set("watches_platform", {}, watching() ? 1 : 0);
-  parts_.metrics.set("endpoints_known", {},
-                     static_cast<double>(parts_.endpoints.size()));
-  parts_.metrics.set("endpoints_unlisted", {},
-                     static_cast<double>(parts_.endpoints.unlisted()));
-  parts_.metrics.set("endpoints_revision", {},
-                     static_cast<double>(endpoints_.revision()));
-  parts_.metrics.set("endpoints_age_ms", {},
-                     static_cast<double>(endpoints_age_ms()));
+  targets_.metrics.set("watches_platform", {}, is_watching() ? 1 : 0);
+  targets_.metrics.set("endpoints_known", {},
+                       static_cast<double>(targets_.endpoints.size()));
+  targets_.metrics.set("endpoints_unlisted", {},
+                       static_cast<double>(targets_.endpoints.unlisted()));
+  targets_.metrics.set("endpoints_revision", {},
+                       static_cast<double>(endpoints_.revision()));
+  targets_.metrics.set("endpoints_age_ms", {},
+                       static_cast<double>(endpoints_age_ms()));
 }
 
-// A gateway that does not know yet who else is there has no share: it may be
-// one of many that have just started.
+// A gateway without a list of its peers takes no share: it may be one of many
+// that have just started.
 void platform_view::share_cold_endpoints() {
   if (!relays_.is_listed()) {
     return;
   }
   const std::vector<relay_peer> peers = relays_.peers();
-  parts_.endpoints.share_cold(
+  targets_.endpoints.share_cold(
       [&](const cold_limit& limit, const endpoint& of) {
         return cold_share(limit, of.identity, of.data_centre, own_, peers);
       },
@@ -191,27 +189,27 @@
 void platform_view::watch_endpoints() {
   endpoints_.on_snapshot(
       [this](const platform::object_listing& found, bool after_loss) {
-        apply(entries_.decode_listing(found, after_loss), answered_now());
+        apply(decoder_.decode_listing(found, after_loss), platform_times());
       });
   endpoints_.on_answer(
-      [this](const platform::object_changes& seen, std::uint64_t after) {
-        apply(entries_.decode_changes(seen, after), answered_now());
+      [this](const platform::object_changes& found, std::uint64_t after) {
+        apply(decoder_.decode_changes(found, after), platform_times());
       });
   endpoints_.start_held();
 }
 
-void platform_view::ask_sign_of_life(std::function<void()> heard) {
+void platform_view::ask_sign_of_life(std::function<void()> on_reply) {
   const relay_source peers = relays_.source();
   const std::string peer = peers.pick();
-  if (peer.empty() || asking_sign_.running()) {
+  if (peer.empty() || probe_call_.running()) {
     return;
   }
-  asking_sign_ = pool_.ask<records::WatchReply>(
-      peer, "Watch", records::WatchRequest(), sign_limit,
-      [peers, peer,
-       heard = std::move(heard)](const result<records::WatchReply>& reply) {
+  probe_call_ = pool_.ask<records::WatchReply>(
+      peer, "Watch", records::WatchRequest(), probe_timeout,
+      [peers, peer, on_reply = std::move(on_reply)](
+          const result<records::WatchReply>& reply) {
         if (reply) {
-          heard();
+          on_reply();
         } else {
           peers.failed(peer, relay_failure::silent);
         }
@@ -221,16 +219,16 @@
 void platform_view::follow() {
   follower_.start(
       {[this] { return relays_.is_listed(); }, [this] { return position(); },
-       [this] { return hold(); }, [this] { release(); },
-       [this](const records::WatchReply& told, std::uint64_t asked_ms) {
-         return take_told(told, asked_ms);
+       [this] { return pause_watches(); }, [this] { resume_watches(); },
+       [this](const records::WatchReply& reply, std::uint64_t sent_ms) {
+         return apply_reply(reply, sent_ms);
        }});
 }
 
-// Another gateway knows the endpoints up to this revision.
-void platform_view::expect(std::uint64_t revision) {
+// Another gateway has the endpoints of this revision.
+void platform_view::expect_revision(std::uint64_t revision) {
   if (endpoints_.revision() == 0) {
-    return;  // a listing is under way
+    return;  // listing in progress
   }
   const bool possible = revision <= endpoints_.revision() + max_revisions_ahead;
   if (possible) {
@@ -243,17 +241,17 @@
                                 {"cause", wrong.message()}});
 }
 
-// ---- Who watches -----------------------------------------------------------
+// ---- Watches ---------------------------------------------------------------
 
-bool platform_view::hold() {
-  const bool held = endpoints_.hold() && configuration_.pause() &&
-                    registry_.hold() && evacuations_.pause();
-  server_.wake();  // those that asked here ask elsewhere
-  return held;
+bool platform_view::pause_watches() {
+  const bool paused = endpoints_.hold() && configuration_.pause() &&
+                      registry_.hold() && evacuations_.pause();
+  server_.wake();  // callers have to poll another gateway
+  return paused;
 }
 
-void platform_view::release() {
-  // One that is to watch has others that rely on it.
+void platform_view::resume_watches() {
+  // Other gateways depend on a watcher, so it retries sooner.
   const bool patient = !follower_.is_watcher();
   endpoints_.release(patient);
   configuration_.resume(patient);
@@ -261,7 +259,7 @@
   evacuations_.resume(patient);
 }
 
-bool platform_view::watching() const {
+bool platform_view::is_watching() const {
   return !endpoints_.held() && endpoints_.reachable() && log_.revision() != 0;
 }
 
@@ -270,60 +268,60 @@
           registry_.revision(), evacuations_.current().revision};
 }
 
-std::error_code platform_view::take_told(const records::WatchReply& told,
-                                         std::uint64_t asked_ms) {
+std::error_code platform_view::apply_reply(const records::WatchReply& reply,
+                                           std::uint64_t sent_ms) {
   if (const std::error_code wrong =
-          check_watch_reply(told, endpoints_.revision())) {
+          check_watch_reply(reply, endpoints_.revision())) {
     return wrong;
   }
-  parts_.metrics.add("watch_answers_total");
-  for (const records::EndpointChanges& each : told.endpoints()) {
+  targets_.metrics.add("watch_answers_total");
+  for (const records::EndpointChanges& each : reply.endpoints()) {
     if (each.revision() > endpoints_.revision()) {
-      apply(each, told_now(each));
+      apply(each, reply_times(each));
     }
   }
   endpoints_.advance(endpoints_.revision());
-  if (told.group_revision() != 0) {
-    registry_.take_told(told.group(), told.group_revision());
+  if (reply.group_revision() != 0) {
+    registry_.take_told(reply.group(), reply.group_revision());
   }
-  if (told.configuration() > configuration_.document().version) {
+  if (reply.configuration() > configuration_.document().version) {
     configuration_.apply_document(
-        {told.configuration(), told.configuration_document()});
+        {reply.configuration(), reply.configuration_document()});
   }
-  configuration_.apply_proof(told, asked_ms);
-  if (told.evacuations_revision() != 0) {
+  configuration_.apply_proof(reply, sent_ms);
+  if (reply.evacuations_revision() != 0) {
     evacuations_.apply_received(
-        {told.evacuations_revision(),
-         {told.evacuated().begin(), told.evacuated().end()}});
+        {reply.evacuations_revision(),
+         {reply.evacuated().begin(), reply.evacuated().end()}});
   }
-  for (const records::EndpointNews& each : told.endpoint_news()) {
-    take_news(each);
+  for (const records::EndpointNews& each : reply.endpoint_news()) {
+    apply_report(each);
   }
   return {};
 }
 
 // ---- Group and configuration -----------------------------------------------
 
-void platform_view::take_group(const records::Group& group) {
+void platform_view::apply_group(const records::Group& group) {
   log_.set_group(group, registry_.revision());
   server_.wake();
-  parts_.records.adopt(group);
+  targets_.records.adopt(group);
   changed_();
 }
 
-void platform_view::adopted(const configuration_document& held) {
-  parts_.endpoints.set_cold_limits(*configuration_.current());
-  log_.set_configuration(held);
+void platform_view::on_configuration(const configuration_document& current) {
+  targets_.endpoints.set_cold_limits(*configuration_.current());
+  log_.set_configuration(current);
   server_.wake();
   if (!follower_.is_following()) {
-    news_.announce_configuration(held.version);
+    notifier_.announce_configuration(current.version);
   }
   changed_();
 }
 
-void platform_view::take_evacuations(const evacuation_list& held) {
-  log_.set_evacuations(held);
-  if (parts_.endpoints.set_evacuated(held.data_centres, loop_.now_ms())) {
+void platform_view::apply_evacuations(const evacuation_list& current) {
+  log_.set_evacuations(current);
+  if (targets_.endpoints.set_evacuated(current.data_centres, loop_.now_ms())) {
     share_cold_endpoints();
     server_.wake();
   }
@@ -331,13 +329,13 @@
 
 // ---- Endpoints -------------------------------------------------------------
 
-// A later instance of an endpoint that is known is worth a line.
-void platform_view::note_start(const endpoint& listed) {
-  const endpoint* known = parts_.endpoints.find(listed.identity.id);
+// Logs a later instance of a known endpoint.
+void platform_view::log_restart(const endpoint& listed) {
+  const endpoint* known = targets_.endpoints.find(listed.identity.id);
   if (known == nullptr || !listed.identity.is_newer_than(known->identity)) {
     return;
   }
-  parts_.metrics.add("endpoint_restarts_total");
+  targets_.metrics.add("endpoint_restarts_total");
   log_info("endpoint_restarted",
            {{"endpoint", listed.identity.id},
             {"started_ms", std::to_string(listed.identity.started_ms)},
@@ -345,9 +343,9 @@
             {"revision", std::to_string(listed.revision)}});
 }
 
-void platform_view::withdraw(const records::EndpointChanges& said) {
-  for (const records::EndpointRecord& each : said.unusable()) {
-    if (parts_.endpoints.withdraw(each.id(), each.revision())) {
+void platform_view::withdraw(const records::EndpointChanges& changes) {
+  for (const records::EndpointRecord& each : changes.unusable()) {
+    if (targets_.endpoints.withdraw(each.id(), each.revision())) {
       log_warn("endpoint_withdrawn",
                {{"endpoint", shortened_name(each.id())},
                 {"revision", std::to_string(each.revision())}});
@@ -355,121 +353,120 @@
   }
 }
 
-void platform_view::apply(const records::EndpointChanges& said,
+void platform_view::apply(const records::EndpointChanges& changes,
                           const answer_times& times) {
-  endpoints_.advance(said.revision());
+  endpoints_.advance(changes.revision());
   std::uint64_t kept_until = 0;
-  if (said.whole()) {
-    kept_until = apply_listing(said, times);
-  } else if (!said.changes().empty()) {
-    log_changes(said);
-    kept_until = apply_changes(said, times);
+  if (changes.whole()) {
+    kept_until = apply_listing(changes, times);
+  } else if (!changes.changes().empty()) {
+    log_changes(changes);
+    kept_until = apply_changes(changes, times);
   }
-  withdraw(said);
+  withdraw(changes);
   share_cold_endpoints();
-  log_.add_endpoints(said, kept_until);
-  if (!said.changes().empty() || !said.unusable().empty()) {
+  log_.add_endpoints(changes, kept_until);
+  if (!changes.changes().empty() || !changes.unusable().empty()) {
     if (!follower_.is_following()) {
-      news_.announce_endpoints_revision(said.revision());
+      notifier_.announce_endpoints_revision(changes.revision());
     }
     server_.wake();
   }
   changed_();
 }
 
-// Returns until when endpoints are used that are missing in it; 0: they are
-// not.
-std::uint64_t platform_view::apply_listing(const records::EndpointChanges& said,
-                                           const answer_times& times) {
-  withdraw(said);  // before they are taken as missing
+// Returns the end of the grace period of missing endpoints; 0: none are kept.
+std::uint64_t platform_view::apply_listing(
+    const records::EndpointChanges& changes, const answer_times& times) {
+  withdraw(changes);  // first, so that they don't count as missing
   std::vector<endpoint> listed;
-  for (const records::EndpointChange& each : said.changes()) {
+  for (const records::EndpointChange& each : changes.changes()) {
     listed.push_back(decode(each.record()).value());
-    note_start(listed.back());
+    log_restart(listed.back());
   }
   const std::vector<std::string> kept =
-      parts_.endpoints.replace(listed, said.after_loss(), times);
+      targets_.endpoints.replace(listed, changes.after_loss(), times);
   log_info(
       "endpoints_listed",
       {{"count", std::to_string(listed.size())},
-       {"revision", std::to_string(said.revision())},
-       {"after_loss", said.after_loss() ? "yes" : "no"},
+       {"revision", std::to_string(changes.revision())},
+       {"after_loss", changes.after_loss() ? "yes" : "no"},
        {"unserved_ms_ago", std::to_string(times.now_ms - times.unserved_ms)},
        {"kept", ids_text(kept)}});
   if (kept.empty()) {
     return 0;
   }
-  return parts_.endpoints.kept_until(said.after_loss()
-                                         ? absence::listed_after_loss
-                                         : absence::nearly_all_at_once,
-                                     times);
+  return targets_.endpoints.kept_until(changes.after_loss()
+                                           ? absence::listed_after_loss
+                                           : absence::nearly_all_at_once,
+                                       times);
 }
 
-// The same of endpoints that are removed in it.
-std::uint64_t platform_view::apply_changes(const records::EndpointChanges& said,
-                                           const answer_times& times) {
+// Returns the end of the grace period of removed endpoints; 0: none are kept.
+std::uint64_t platform_view::apply_changes(
+    const records::EndpointChanges& changes, const answer_times& times) {
   const auto removed = std::count_if(
-      said.changes().begin(), said.changes().end(),
+      changes.changes().begin(), changes.changes().end(),
       [](const records::EndpointChange& each) { return each.removed(); });
-  const bool lapsed =
-      parts_.endpoints.is_mass_expiry(static_cast<std::size_t>(removed));
-  if (lapsed) {
-    parts_.metrics.add("endpoint_lapses_total");
+  const bool expired =
+      targets_.endpoints.is_mass_expiry(static_cast<std::size_t>(removed));
+  if (expired) {
+    targets_.metrics.add("endpoint_lapses_total");
     log_warn("endpoints_lapsed",
              {{"removed", std::to_string(removed)},
-              {"known", std::to_string(parts_.endpoints.size())},
+              {"known", std::to_string(targets_.endpoints.size())},
               {"unserved_ms_ago",
                std::to_string(times.now_ms - times.unserved_ms)}});
   }
-  for (const records::EndpointChange& each : said.changes()) {
+  for (const records::EndpointChange& each : changes.changes()) {
     const endpoint_identity instance = identity_of(each.record());
     if (!each.removed()) {
       const endpoint changed = decode(each.record()).value();
-      note_start(changed);
-      parts_.endpoints.update(changed, times.now_ms);
-    } else if (lapsed) {
-      parts_.endpoints.lapse(instance, said.revision(), times);
+      log_restart(changed);
+      targets_.endpoints.update(changed, times.now_ms);
+    } else if (expired) {
+      targets_.endpoints.lapse(instance, changes.revision(), times);
     } else {
-      parts_.endpoints.remove(instance, said.revision());
+      targets_.endpoints.remove(instance, changes.revision());
     }
   }
-  return lapsed
-             ? parts_.endpoints.kept_until(absence::nearly_all_at_once, times)
+  return expired
+             ? targets_.endpoints.kept_until(absence::nearly_all_at_once, times)
              : 0;
 }
 
-// ---- What other gateways have met ------------------------------------------
+// ---- Reports of other gateways ---------------------------------------------
 
-// To those that ask this gateway.
-void platform_view::pass_on(const records::EndpointNews& news) {
-  log_.add_report(news, loop_.now_ms());
+// Makes the report available to gateways that poll this one.
+void platform_view::forward_report(const records::EndpointNews& report) {
+  log_.add_report(report, loop_.now_ms());
   server_.wake_soon();
 }
 
-// The same news may come by way of each gateway that watches, and count once.
-bool platform_view::is_new(const records::EndpointNews& news) {
+// A report may arrive through several watchers, and counts once.
+bool platform_view::is_new(const records::EndpointNews& report) {
   const std::uint64_t now = loop_.now_ms();
-  std::erase_if(news_seen_ms_, [&](const auto& each) {
-    return each.second + news_memory_ms < now;
+  std::erase_if(reports_received_ms_, [&](const auto& each) {
+    return each.second + report_memory_ms < now;
   });
-  return news_seen_ms_.try_emplace(news.id(), now).second;
+  return reports_received_ms_.try_emplace(report.id(), now).second;
 }
 
-void platform_view::take_news(const records::EndpointNews& news) {
-  if (!is_new(news)) {
+void platform_view::apply_report(const records::EndpointNews& report) {
+  if (!is_new(report)) {
     return;
   }
-  for (const records::EndpointIdentity& each : news.failed()) {
-    parts_.metrics.add("endpoint_failures_reported_total");
-    if (parts_.endpoints.report_failure(decode(each), news.gateway(),
-                                        loop_.now_ms())) {
-      log_avoided(each, news);
+  for (const records::EndpointIdentity& each : report.failed()) {
+    targets_.metrics.add("endpoint_failures_reported_total");
+    if (targets_.endpoints.report_failure(decode(each), report.gateway(),
+                                          loop_.now_ms())) {
+      log_avoided(each, report);
     }
   }
-  for (const records::EndpointIdentity& each : news.superseded()) {
-    parts_.metrics.add("superseded_endpoints_reported_total");
-    if (parts_.endpoints.supersede(decode(each))) {
-      log_avoided(each, news);
+  for (const records::EndpointIdentity& each : report.superseded()) {
+    targets_.metrics.add("superseded_endpoints_reported_total");
+    if (targets_.endpoints.supersede(decode(each))) {
+      log_avoided(each, report);
     }
   }
 }
