--- a/test/evacuation_path_test.cc
+++ b/test/evacuation_path_test.cc
@@ -1,4 +1,4 @@
-// A data centre that the operator empties and takes back, as processes.
+// Gateway processes while the operator evacuates a data centre.
 #include "service_deployment.h"
 #include "test_support.h"
 
@@ -32,7 +32,7 @@
   });
 }
 
-// Whether ten requests by the gateway go elsewhere than to the runner.
+// Whether ten requests through the gateway all avoid the runner.
 bool avoids(service_deployment& system, int number, const std::string& runner) {
   static int attempts = 0;
   constexpr int tries = 10;
@@ -46,21 +46,21 @@
 
 class evacuation_path_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(evacuation_path_test);
-  CPPUNIT_TEST(all_gateways_leave_an_emptied_data_centre);
-  CPPUNIT_TEST(data_centre_that_is_taken_back_is_used_again);
-  CPPUNIT_TEST(gateway_that_starts_meanwhile_leaves_it_too);
-  CPPUNIT_TEST(requests_are_refused_while_all_are_emptied);
+  CPPUNIT_TEST(all_gateways_avoid_an_evacuated_data_centre);
+  CPPUNIT_TEST(data_centre_is_used_after_its_evacuation);
+  CPPUNIT_TEST(gateway_started_during_an_evacuation_avoids_it);
+  CPPUNIT_TEST(requests_are_rejected_while_all_are_evacuated);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void all_gateways_leave_an_emptied_data_centre() {
+  void all_gateways_avoid_an_evacuated_data_centre() {
     service_deployment system(options());
     start_in_two_data_centres(system);
     system.put_object("evacuations", "dc-1", json::object());
     expect_all_avoid(system, "runner-1");
   }
 
-  void data_centre_that_is_taken_back_is_used_again() {
+  void data_centre_is_used_after_its_evacuation() {
     service_deployment system(options());
     start_in_two_data_centres(system);
     system.put_object("evacuations", "dc-1", json::object());
@@ -72,27 +72,27 @@
     }
   }
 
-  void gateway_that_starts_meanwhile_leaves_it_too() {
+  void gateway_started_during_an_evacuation_avoids_it() {
     service_deployment system(options());
     start_in_two_data_centres(system);
     system.put_object("evacuations", "dc-1", json::object());
     system.kill(gateway(1));
     system.start(gateway(1));
     system.wait_ready(gateway(1));
-    wait_until("the restarted gateway leaves it",
+    wait_until("the restarted gateway avoids it",
                [&] { return avoids(system, 1, "runner-1"); });
   }
 
-  void requests_are_refused_while_all_are_emptied() {
+  void requests_are_rejected_while_all_are_evacuated() {
     service_deployment system(options());
     start_in_two_data_centres(system);
     system.put_object("evacuations", "dc-1", json::object());
     system.put_object("evacuations", "dc-2", json::object());
     expect_all_avoid(system, "runner-1");
     expect_all_avoid(system, "runner-2");
-    const http_answer answer =
+    const http_answer response =
         system.request(gateway(1), "/unsafe/a", "refused");
-    CPPUNIT_ASSERT_EQUAL(503, answer.status);
+    CPPUNIT_ASSERT_EQUAL(503, response.status);
     CPPUNIT_ASSERT_EQUAL(0, system.runs("refused"));
   }
 
@@ -100,7 +100,7 @@
   static void expect_all_avoid(service_deployment& system,
                                const std::string& runner) {
     for (int i = 1; i <= gateway_count; ++i) {
-      wait_until(gateway(i) + " leaves " + runner,
+      wait_until(gateway(i) + " avoids " + runner,
                  [&] { return avoids(system, i, runner); });
     }
   }
--- a/test/shared_watch_test.cc
+++ b/test/shared_watch_test.cc
@@ -1,5 +1,4 @@
-// Gateways of one data centre, of which two watch the platform for all, as
-// processes.
+// Four gateway processes of one data centre, two of which watch the platform.
 #include <algorithm>
 
 #include "service_deployment.h"
@@ -10,7 +9,7 @@
 
 constexpr int gateway_count = 4;
 
-service_options together() {
+service_options shared_options() {
   service_options made;
   made.gateways = gateway_count;
   made.gateways_together = true;
@@ -22,23 +21,23 @@
 class shared_watch_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(shared_watch_test);
   CPPUNIT_TEST(two_of_four_gateways_watch);
-  CPPUNIT_TEST(configuration_reaches_those_that_do_not_watch);
-  CPPUNIT_TEST(leaving_endpoint_is_left_by_those_that_do_not_watch);
-  CPPUNIT_TEST(others_watch_when_the_watchers_are_gone);
-  CPPUNIT_TEST(those_that_ask_serve_while_the_platform_is_out);
-  CPPUNIT_TEST(gateway_asks_a_silent_platform_for_the_others_again);
-  CPPUNIT_TEST(gateway_that_starts_among_others_reads_no_endpoints);
+  CPPUNIT_TEST(configuration_reaches_gateways_that_do_not_watch);
+  CPPUNIT_TEST(gateways_that_do_not_watch_stop_using_a_draining_endpoint);
+  CPPUNIT_TEST(other_gateways_watch_when_the_watchers_are_killed);
+  CPPUNIT_TEST(all_gateways_serve_during_an_outage);
+  CPPUNIT_TEST(list_request_to_a_silent_platform_is_repeated);
+  CPPUNIT_TEST(starting_gateway_reads_its_state_from_peers);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void two_of_four_gateways_watch() {
-    service_deployment system(together());
+    service_deployment system(shared_options());
     system.start_all();
     wait_until("two watch", [&] { return watchers(system).size() == 2; });
   }
 
-  void configuration_reaches_those_that_do_not_watch() {
-    service_deployment system(together());
+  void configuration_reaches_gateways_that_do_not_watch() {
+    service_deployment system(shared_options());
     start_shared(system);
     json route = {
         {"name", "new"},  {"host", "local"},        {"pathPrefix", "/new/"},
@@ -54,25 +53,25 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, watchers(system).size());
   }
 
-  void leaving_endpoint_is_left_by_those_that_do_not_watch() {
-    service_deployment system(together());
+  void gateways_that_do_not_watch_stop_using_a_draining_endpoint() {
+    service_deployment system(shared_options());
     start_shared(system);
     system.register_runner("runner-1", "draining");
     for (int i = 1; i <= gateway_count; ++i) {
-      wait_until(gateway(i) + " leaves the endpoint",
-                 [&] { return serves_by_the_other(system, i); });
+      wait_until(gateway(i) + " stops using the endpoint",
+                 [&] { return avoids_runner_1(system, i); });
     }
   }
 
-  void others_watch_when_the_watchers_are_gone() {
-    service_deployment system(together());
+  void other_gateways_watch_when_the_watchers_are_killed() {
+    service_deployment system(shared_options());
     start_shared(system);
     const std::vector<int> first = watchers(system);
     for (const int each : first) {
       system.kill(gateway(each));
     }
     system.configure(2);
-    wait_until("the others watch",
+    wait_until("the other gateways watch",
                [&] { return watchers(system).size() == 2; });
     for (const int each : watchers(system)) {
       CPPUNIT_ASSERT(std::find(first.begin(), first.end(), each) ==
@@ -80,8 +79,8 @@
     }
   }
 
-  void those_that_ask_serve_while_the_platform_is_out() {
-    service_deployment system(together());
+  void all_gateways_serve_during_an_outage() {
+    service_deployment system(shared_options());
     start_shared(system);
     system.platform_fault({{"outage", true}});
     for (int i = 1; i <= gateway_count; ++i) {
@@ -92,28 +91,27 @@
     system.platform_fault({{"outage", false}});
     system.register_runner("runner-1", "draining");
     for (int i = 1; i <= gateway_count; ++i) {
-      wait_until(gateway(i) + " hears of it",
-                 [&] { return serves_by_the_other(system, i); });
+      wait_until(gateway(i) + " stops using it after the outage",
+                 [&] { return avoids_runner_1(system, i); });
     }
   }
 
-  // A call to a platform that is silent is lost even if it is back in the next
-  // moment.
-  void gateway_asks_a_silent_platform_for_the_others_again() {
-    service_deployment system(together());
+  // A call that a silent platform received may never get a response.
+  void list_request_to_a_silent_platform_is_repeated() {
+    service_deployment system(shared_options());
     system.start("objects");
     wait_until("the platform answers", [&] {
       return system.platform_calls("GET /objects/config") == 0;
     });
     system.platform_fault({{"silent", true}});
     system.start(gateway(1));
-    wait_until("three lists are asked for",
+    wait_until("three lists are requested",
                [&] { return system.platform_calls(list_of_gateways) >= 3; });
     CPPUNIT_ASSERT_EQUAL(0, system.platform_calls("POST " + gateways));
   }
 
-  void gateway_that_starts_among_others_reads_no_endpoints() {
-    service_deployment system(together());
+  void starting_gateway_reads_its_state_from_peers() {
+    service_deployment system(shared_options());
     start_shared(system);
     const std::vector<int> watching = watchers(system);
     int follower = 1;
@@ -141,7 +139,7 @@
     wait_until("two watch", [&] { return watchers(system).size() == 2; });
   }
 
-  // The numbers of the gateways that say that they watch.
+  // The numbers of the gateways whose metric says that they watch.
   static std::vector<int> watchers(service_deployment& system) {
     std::vector<int> found;
     for (int i = 1; i <= gateway_count; ++i) {
@@ -154,8 +152,8 @@
     return found;
   }
 
-  // Ten requests that all went to runner-2.
-  static bool serves_by_the_other(service_deployment& system, int number) {
+  // Whether ten requests all go to runner-2.
+  static bool avoids_runner_1(service_deployment& system, int number) {
     static int attempts = 0;
     constexpr int tries = 10;
     const json before = system.counts("runner-1");
