--- a/include/trayrock/internal/gateway/configuration_view.h
+++ b/include/trayrock/internal/gateway/configuration_view.h
@@ -3,7 +3,7 @@
 //
 // Configurations come from this gateway's own watch of the platform or from
 // other gateways; a lower version never replaces a later one. When the proof
-// ages (decide/configuration_proof.h), other gateways are asked for theirs in
+// ages (decide/configuration_proof.h), other gateways are polled for theirs in
 // turn, since the platform may be unavailable to this gateway only.
 //
 // Example:
@@ -65,7 +65,8 @@
   void add_proof(records::WatchReply& reply) const;
 
   // Pauses this gateway's own watch while another gateway watches for it, and
-  // resumes it (platform/collection_watcher.h).
+  // resumes it; a patient one retries less often
+  // (platform/collection_watcher.h).
   bool pause() { return watcher_.hold(); }
   void resume(bool patient) { watcher_.release(patient); }
 
--- a/include/trayrock/internal/gateway/endpoint_directory.h
+++ b/include/trayrock/internal/gateway/endpoint_directory.h
@@ -93,21 +93,22 @@
   std::uint64_t kept_until(absence how, const answer_times& times) const;
 
   // Removes the endpoints whose grace period is over and returns their ids.
-  // choose() skips them from its end on, also before the sweep.
+  // choose() skips them as soon as it is over, even before they are removed.
   std::vector<std::string> sweep(std::uint64_t now_ms);
 
   // Returns nullptr if no endpoint of the service can be used.
   endpoint_state_ptr choose(const endpoint_choice& wanted,
                             std::uint64_t now_ms) const;
 
-  // Whether an endpoint of the service is skipped only because it is cold and
-  // this gateway's share of its limit is used up.
+  // Whether this gateway has used up its share of the limit of a cold endpoint
+  // of the service. Draining and evacuated endpoints don't count.
   bool are_held_back_when_cold(std::string_view service,
                                std::uint64_t now_ms) const;
 
   // Accounts for the start of an attempt.
   static void begin(endpoint_state& at, std::uint64_t now_ms);
-  // Accounts for its end. Returns true if this puts the endpoint in backoff.
+  // Accounts for its end. Returns true if the endpoint goes into backoff or
+  // another instance has its address.
   static bool end(endpoint_state& at, attempt_outcome outcome,
                   double latency_ms, std::uint64_t now_ms);
 
--- a/include/trayrock/internal/gateway/evacuation_view.h
+++ b/include/trayrock/internal/gateway/evacuation_view.h
@@ -40,7 +40,8 @@
   void apply_received(const evacuation_list& received);
 
   // Pauses this gateway's own watch while another gateway watches for it, and
-  // resumes it (platform/collection_watcher.h).
+  // resumes it; a patient one retries less often
+  // (platform/collection_watcher.h).
   bool pause();
   void resume(bool patient);
 
--- a/include/trayrock/internal/gateway/peer_news.h
+++ b/include/trayrock/internal/gateway/peer_news.h
@@ -10,11 +10,11 @@
 // the gateway that watches for it.
 //
 // Example:
-//   peer_news news(loop, pool, receivers, own, news_policy());
-//   news.serve(rpc, handlers);
-//   news.note_failure(endpoint);
-//   news.note_superseded(endpoint);
-//   news.announce_configuration(7);
+//   peer_news notifier(loop, pool, receivers, own, news_policy());
+//   notifier.serve(rpc, handlers);
+//   notifier.note_failure(endpoint);
+//   notifier.note_superseded(endpoint);
+//   notifier.announce_configuration(7);
 #pragma once
 
 #include <cstdint>
@@ -77,7 +77,7 @@
   void announce_configuration(std::uint64_t version);
 
  private:
-  void send_soon();
+  void schedule_send();
   void send();
   records::GatewayNews take_batch();
   void fetch_configuration(const std::string& from);
--- a/include/trayrock/internal/gateway/peer_relays.h
+++ b/include/trayrock/internal/gateway/peer_relays.h
@@ -7,7 +7,7 @@
 //
 // Example:
 //   peer_relays relays(loop, registry, own);
-//   relays.start();
+//   relays.start(on_listed);
 //   records.use_relays(relays.source());
 #pragma once
 
--- a/include/trayrock/internal/gateway/platform_view.h
+++ b/include/trayrock/internal/gateway/platform_view.h
@@ -114,8 +114,8 @@
   void log_restart(const endpoint& listed);
   void share_cold_endpoints();
   void sweep();
-  answer_times platform_times() const;
-  answer_times reply_times(const records::EndpointChanges& changes) const;
+  answer_times times_from_platform() const;
+  answer_times times_from_peer(const records::EndpointChanges& changes) const;
 
   event_loop& loop_;
   rpc_pool& pool_;
--- a/include/trayrock/internal/gateway/watch_log.h
+++ b/include/trayrock/internal/gateway/watch_log.h
@@ -88,8 +88,8 @@
   bool after_loss_ = false;  // of the last complete listing
   std::uint64_t listing_kept_until_ms_ = 0;
   std::map<std::string, records::EndpointRecord> records_;
-  std::map<std::string, records::EndpointRecord>
-      unusable_;                      // id and revision only
+  // With id and revision only.
+  std::map<std::string, records::EndpointRecord> unusable_;
   std::deque<kept_changes> changes_;  // the most recent ones, in order
   std::size_t change_count_ = 0;      // entries in all of `changes_`
   configuration_document configuration_;
--- a/src/gateway/peer_news.cc
+++ b/src/gateway/peer_news.cc
@@ -91,30 +91,30 @@
 void peer_news::note_failure(const endpoint_identity& endpoint) {
   if (policy_.failures && failed_endpoints_.size() < max_failed) {
     failed_endpoints_.insert(endpoint);
-    send_soon();
+    schedule_send();
   }
 }
 
 void peer_news::note_superseded(const endpoint_identity& endpoint) {
   if (policy_.superseded && superseded_endpoints_.size() < max_superseded) {
     superseded_endpoints_.insert(endpoint);
-    send_soon();
+    schedule_send();
   }
 }
 
 void peer_news::announce_endpoints_revision(std::uint64_t revision) {
   if (policy_.revisions && revision > endpoints_revision_) {
     endpoints_revision_ = revision;
-    send_soon();
+    schedule_send();
   }
 }
 
 void peer_news::announce_configuration(std::uint64_t version) {
   configuration_ = version;
-  send_soon();
+  schedule_send();
 }
 
-void peer_news::send_soon() {
+void peer_news::schedule_send() {
   if (!batch_timer_.pending()) {
     batch_timer_ = loop_.after(batch_delay, [this] { send(); });
   }
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -142,13 +142,13 @@
 }
 
 // The times of a response that the platform has just sent.
-answer_times platform_view::platform_times() const {
+answer_times platform_view::times_from_platform() const {
   return {loop_.now_ms(), objects_.unserved_at_ms()};
 }
 
 // The times of a reply that has just come from a watching gateway, which sent
 // the rest of the grace period.
-answer_times platform_view::reply_times(
+answer_times platform_view::times_from_peer(
     const records::EndpointChanges& changes) const {
   const std::uint64_t now = loop_.now_ms();
   return {now, 0, now + changes.lapse_left_ms()};
@@ -187,13 +187,13 @@
 }
 
 void platform_view::watch_endpoints() {
-  endpoints_.on_snapshot(
-      [this](const platform::object_listing& found, bool after_loss) {
-        apply(decoder_.decode_listing(found, after_loss), platform_times());
-      });
+  endpoints_.on_snapshot([this](const platform::object_listing& found,
+                                bool after_loss) {
+    apply(decoder_.decode_listing(found, after_loss), times_from_platform());
+  });
   endpoints_.on_answer(
       [this](const platform::object_changes& found, std::uint64_t after) {
-        apply(decoder_.decode_changes(found, after), platform_times());
+        apply(decoder_.decode_changes(found, after), times_from_platform());
       });
   endpoints_.start_held();
 }
@@ -277,7 +277,7 @@
   targets_.metrics.add("watch_answers_total");
   for (const records::EndpointChanges& each : reply.endpoints()) {
     if (each.revision() > endpoints_.revision()) {
-      apply(each, reply_times(each));
+      apply(each, times_from_peer(each));
     }
   }
   endpoints_.advance(endpoints_.revision());
--- a/test/shared_watch_test.cc
+++ b/test/shared_watch_test.cc
@@ -100,7 +100,7 @@
   void list_request_to_a_silent_platform_is_repeated() {
     service_deployment system(shared_options());
     system.start("objects");
-    wait_until("the platform answers", [&] {
+    wait_until("the platform responds", [&] {
       return system.platform_calls("GET /objects/config") == 0;
     });
     system.platform_fault({{"silent", true}});
