--- a/include/trayrock/internal/gateway/configuration_view.h
+++ b/include/trayrock/internal/gateway/configuration_view.h
@@ -88,8 +88,8 @@
   configuration_ptr current_;
   configuration_document document_;  // the source of `current_`
   bool was_proven_ = true;
-  std::uint64_t last_peer_ =
-      0;  // that a proof was requested from; modulo the peers
+  // That a proof was requested from; modulo the number of peers.
+  std::uint64_t last_peer_ = 0;
   rpc_call proof_call_;
   timer check_timer_;
 };
--- a/include/trayrock/internal/gateway/endpoint_entries.h
+++ b/include/trayrock/internal/gateway/endpoint_entries.h
@@ -35,7 +35,7 @@
   void add(const platform::stored_object& object,
            records::EndpointChanges& changes);
   void record_unusable(const platform::stored_object& object,
-                       std::error_code error);
+                       std::error_code why);
 
   metrics_registry& metrics_;
   std::map<std::string, std::uint64_t> logged_revisions_;  // by id
--- a/src/gateway/endpoint_entries.cc
+++ b/src/gateway/endpoint_entries.cc
@@ -66,9 +66,9 @@
 }
 
 void endpoint_entries::record_unusable(const platform::stored_object& object,
-                                       std::error_code error) {
+                                       std::error_code why) {
   metrics_.add("endpoint_entries_unusable_total",
-               {{"error", std::to_string(error.value())}});
+               {{"error", std::to_string(why.value())}});
   if (logged_revisions_.size() >= max_logged_revisions) {
     logged_revisions_.clear();
   }
@@ -78,8 +78,8 @@
   }
   log_error("endpoint_unusable", {{"endpoint", shortened_name(object.name)},
                                   {"revision", std::to_string(object.revision)},
-                                  {"error", std::to_string(error.value())},
-                                  {"cause", error.message()}});
+                                  {"error", std::to_string(why.value())},
+                                  {"cause", why.message()}});
 }
 
 }  // namespace trayrock
