--- a/include/trayrock/internal/gateway/configuration_view.h
+++ b/include/trayrock/internal/gateway/configuration_view.h
@@ -53,7 +53,7 @@
   const configuration_proof& proof() const { return proof_; }
 
   // Whether requests that require a key may be served.
-  bool is_proven() const { return proof_.holds(loop_.now_ms()); }
+  bool is_proven() const { return proof_.is_valid(loop_.now_ms()); }
 
   // Applies a configuration received from another gateway.
   void apply_document(const configuration_document& document);
@@ -67,8 +67,8 @@
   // Pauses this gateway's own watch while another gateway watches for it, and
   // resumes it; a patient one retries less often
   // (platform/collection_watcher.h).
-  bool pause() { return watcher_.hold(); }
-  void resume(bool patient) { watcher_.release(patient); }
+  bool pause() { return watcher_.pause(); }
+  void resume(bool patient) { watcher_.resume(patient); }
 
  private:
   void watch();
--- a/include/trayrock/internal/gateway/endpoint_directory.h
+++ b/include/trayrock/internal/gateway/endpoint_directory.h
@@ -22,7 +22,7 @@
 
 #include "trayrock/internal/decide/endpoint_choice.h"
 #include "trayrock/internal/decide/endpoint_state.h"
-#include "trayrock/internal/decide/lapse_rule.h"
+#include "trayrock/internal/decide/record_expiry.h"
 #include "trayrock/internal/gateway/evacuation_list.h"
 #include "trayrock/internal/gateway/former_endpoints.h"
 
@@ -32,7 +32,7 @@
   health_policy health;
   choice_policy choice;
   // Keeps endpoints for a grace period if nearly all records expire at once.
-  bool keeps_lapsed = true;
+  bool keeps_expired = true;
   // Time from the end of a platform outage until all boxes have reconnected.
   std::uint64_t reconnect_ms = 3000;
 
@@ -51,9 +51,9 @@
   // Replaces the whole list. After a loss of the platform, or if nearly all
   // endpoints are missing at once, a missing endpoint that was not draining is
   // kept for a grace period, since its record may return
-  // (decide/lapse_rule.h). Returns the ids of the endpoints kept.
+  // (decide/record_expiry.h). Returns the ids of the endpoints kept.
   std::vector<std::string> replace(const std::vector<endpoint>& listed,
-                                   bool after_loss, const answer_times& times);
+                                   bool after_loss, const reply_times& times);
 
   // Sets the evacuated data centres; their endpoints are not chosen. Endpoints
   // of a data centre that is removed from the list count as cold, since their
@@ -64,7 +64,8 @@
   void set_cold_limits(const configuration& from);
 
   // Recalculates this gateway's share for each endpoint that is cold now.
-  void share_cold(const cold_share_function& share_of, std::uint64_t now_ms);
+  void update_cold_shares(const cold_share_function& share_of,
+                          std::uint64_t now_ms);
 
   // Applies a record. A later instance replaces the current one and starts
   // with a clean state; an earlier instance or revision is ignored.
@@ -81,45 +82,45 @@
   bool withdraw(const std::string& id, std::uint64_t revision);
 
   // Whether this many removals in one response of the platform mean that the
-  // records have expired in an outage (decide/lapse_rule.h).
+  // records have expired in an outage (decide/record_expiry.h).
   bool is_mass_expiry(std::size_t removed) const;
 
   // The endpoint's record has expired together with many others: keeps it for a
   // grace period, or removes it if it was draining.
-  void lapse(const endpoint_identity& removed, std::uint64_t revision,
-             const answer_times& times);
+  void expire(const endpoint_identity& removed, std::uint64_t revision,
+              const reply_times& times);
 
   // The end of the grace period for endpoints that are missing in this way.
-  std::uint64_t kept_until(absence how, const answer_times& times) const;
+  std::uint64_t kept_until(missing_cause how, const reply_times& times) const;
 
   // Removes the endpoints whose grace period is over and returns their ids.
   // choose() skips them as soon as it is over, even before they are removed.
   std::vector<std::string> sweep(std::uint64_t now_ms);
 
   // Returns nullptr if no endpoint of the service can be used.
-  endpoint_state_ptr choose(const endpoint_choice& wanted,
+  endpoint_state_ptr choose(const endpoint_criteria& wanted,
                             std::uint64_t now_ms) const;
 
   // Whether this gateway has used up its share of the limit of a cold endpoint
   // of the service. Draining and evacuated endpoints don't count.
-  bool are_held_back_when_cold(std::string_view service,
-                               std::uint64_t now_ms) const;
+  bool is_limited_by_cold_start(std::string_view service,
+                                std::uint64_t now_ms) const;
 
   // Accounts for the start of an attempt.
-  static void begin(endpoint_state& at, std::uint64_t now_ms);
+  static void begin_attempt(endpoint_state& at, std::uint64_t now_ms);
   // Accounts for its end. Returns true if the endpoint goes into backoff or
   // another instance has its address.
-  static bool end(endpoint_state& at, attempt_outcome outcome,
-                  double latency_ms, std::uint64_t now_ms);
+  static bool end_attempt(endpoint_state& at, attempt_outcome outcome,
+                          double latency_ms, std::uint64_t now_ms);
 
   // Records a failure that another gateway reported. Returns true if this puts
   // the endpoint in backoff.
-  bool report_failure(const endpoint_identity& failed, std::string_view gateway,
-                      std::uint64_t now_ms);
+  bool record_peer_failure(const endpoint_identity& failed,
+                           std::string_view gateway, std::uint64_t now_ms);
 
   // Another gateway has found another instance at this instance's address.
   // Returns true if the instance is listed and was not marked before.
-  bool supersede(const endpoint_identity& former);
+  bool mark_superseded(const endpoint_identity& former);
 
   // The known instance of that id, or nullptr.
   const endpoint* find(const std::string& id) const;
--- a/include/trayrock/internal/gateway/peer_news.h
+++ b/include/trayrock/internal/gateway/peer_news.h
@@ -10,10 +10,10 @@
 // the gateway that watches for it.
 //
 // Example:
-//   peer_news notifier(loop, pool, receivers, own, news_policy());
+//   peer_news notifier(loop, pool, receivers, own, peer_notifier_policy());
 //   notifier.serve(rpc, handlers);
-//   notifier.note_failure(endpoint);
-//   notifier.note_superseded(endpoint);
+//   notifier.record_peer_failure(endpoint);
+//   notifier.report_superseded(endpoint);
 //   notifier.announce_configuration(7);
 #pragma once
 
@@ -27,7 +27,7 @@
 #include "platform/gateway_registry.h"
 #include "records.pb.h"
 #include "trayrock/internal/decide/endpoint_identity.h"
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 #include "trayrock/internal/gateway/gateway_policy.h"
 #include "trayrock/internal/gateway/watch_log.h"
 #include "trayrock/internal/net/loop.h"
@@ -56,7 +56,7 @@
   // of the gateways to notify.
   peer_news(event_loop& loop, rpc_pool& pool,
             std::function<std::vector<std::string>()> receivers,
-            platform::gateway_entry own, news_policy policy);
+            platform::gateway_entry own, peer_notifier_policy policy);
   peer_news(const peer_news&) = delete;
   peer_news& operator=(const peer_news&) = delete;
 
@@ -65,10 +65,10 @@
   void serve(rpc_server& server, notification_handlers handlers);
 
   // A request of this gateway failed at the endpoint.
-  void note_failure(const endpoint_identity& endpoint);
+  void record_peer_failure(const endpoint_identity& endpoint);
 
   // This gateway has found another instance at the endpoint's address.
-  void note_superseded(const endpoint_identity& endpoint);
+  void report_superseded(const endpoint_identity& endpoint);
 
   // This gateway has the endpoints' records up to this revision.
   void announce_endpoints_revision(std::uint64_t revision);
@@ -86,7 +86,7 @@
   rpc_pool& pool_;
   std::function<std::vector<std::string>()> receivers_;
   platform::gateway_entry own_;
-  news_policy policy_;
+  peer_notifier_policy policy_;
   notification_handlers handlers_;
   std::set<endpoint_identity> failed_endpoints_;      // since the last batch
   std::set<endpoint_identity> superseded_endpoints_;  // likewise
--- a/include/trayrock/internal/gateway/peer_relays.h
+++ b/include/trayrock/internal/gateway/peer_relays.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "platform/gateway_registry.h"
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 #include "trayrock/internal/net/rpc.h"
 #include "trayrock/internal/records/record_client.h"
 
@@ -58,7 +58,7 @@
   event_loop& loop_;
   platform::gateway_registry& registry_;
   platform::gateway_entry own_;
-  relay_choice choice_;
+  relay_selector choice_;
   bool refreshing_ = false;
   bool is_listed_ = false;
   std::function<void()> on_listed_;
--- a/include/trayrock/internal/gateway/platform_view.h
+++ b/include/trayrock/internal/gateway/platform_view.h
@@ -75,15 +75,17 @@
 
   // Reports to other gateways that a request failed at the endpoint, or that
   // another instance has its address.
-  void note_failure(const endpoint_identity& at) { notifier_.note_failure(at); }
-  void note_superseded(const endpoint_identity& at) {
-    notifier_.note_superseded(at);
+  void record_peer_failure(const endpoint_identity& at) {
+    notifier_.record_peer_failure(at);
+  }
+  void report_superseded(const endpoint_identity& at) {
+    notifier_.report_superseded(at);
   }
 
   peer_relays& relays() { return relays_; }
 
   // Probes a peer; `on_reply` is called if it replies.
-  void ask_sign_of_life(std::function<void()> on_reply);
+  void probe_peer(std::function<void()> on_reply);
 
  private:
   void watch_endpoints();
@@ -100,12 +102,11 @@
   void apply_group(const records::Group& group);
   void on_configuration(const configuration_document& current);
   void apply_evacuations(const evacuation_list& current);
-  void apply(const records::EndpointChanges& changes,
-             const answer_times& times);
+  void apply(const records::EndpointChanges& changes, const reply_times& times);
   std::uint64_t apply_listing(const records::EndpointChanges& changes,
-                              const answer_times& times);
+                              const reply_times& times);
   std::uint64_t apply_changes(const records::EndpointChanges& changes,
-                              const answer_times& times);
+                              const reply_times& times);
   void apply_report(const records::EndpointNews& report);
   void forward_report(const records::EndpointNews& report);
   bool is_new(const records::EndpointNews& report);
@@ -114,8 +115,8 @@
   void log_restart(const endpoint& listed);
   void share_cold_endpoints();
   void sweep();
-  answer_times times_from_platform() const;
-  answer_times times_from_peer(const records::EndpointChanges& changes) const;
+  reply_times times_from_platform() const;
+  reply_times times_from_peer(const records::EndpointChanges& changes) const;
 
   event_loop& loop_;
   rpc_pool& pool_;
--- a/include/trayrock/internal/gateway/watch_follower.h
+++ b/include/trayrock/internal/gateway/watch_follower.h
@@ -83,7 +83,7 @@
   enum class role { starting, polling, watching };
 
   void step();
-  void act(const ask_watcher& watcher);
+  void act(const poll_watcher& watcher);
   void act(const watch_platform&);
   void act(const wait_for_peers&);
   void on_reply(const std::string& from, std::uint64_t sent_ms,
--- a/src/gateway/configuration_view.cc
+++ b/src/gateway/configuration_view.cc
@@ -43,8 +43,9 @@
       apply_object(change.object);
     }
   });
-  watcher_.on_current([this](std::uint64_t sent_ms) { proof_.shown(sent_ms); });
-  watcher_.start_held();
+  watcher_.on_current(
+      [this](std::uint64_t sent_ms) { proof_.on_platform_response(sent_ms); });
+  watcher_.start_paused();
 }
 
 // Ignores objects of that kind with other names.
@@ -104,7 +105,7 @@
   const bool usable = reply.proven_configuration() != 0 &&
                       reply.proven_configuration() <= document_.version;
   if (usable) {
-    proof_.told(sent_ms, milliseconds(reply.proof_age_ms()));
+    proof_.on_peer_reply(sent_ms, milliseconds(reply.proof_age_ms()));
   }
 }
 
@@ -125,7 +126,7 @@
              {{"version", std::to_string(document_.version)},
               {"platform_silent_ms", std::to_string(watcher_.silence_ms())}});
   }
-  if (proof_.is_ageing(loop_.now_ms())) {
+  if (proof_.needs_refresh(loop_.now_ms())) {
     request_proof();
   }
 }
--- a/src/gateway/evacuation_view.cc
+++ b/src/gateway/evacuation_view.cc
@@ -51,7 +51,7 @@
         }
         adopt(std::move(data_centres), found.revision);
       });
-  watcher_->start_held();
+  watcher_->start_paused();
 }
 
 void evacuation_view::apply_received(const evacuation_list& received) {
@@ -61,11 +61,11 @@
   }
 }
 
-bool evacuation_view::pause() { return !watcher_ || watcher_->hold(); }
+bool evacuation_view::pause() { return !watcher_ || watcher_->pause(); }
 
 void evacuation_view::resume(bool patient) {
   if (watcher_) {
-    watcher_->release(patient);
+    watcher_->resume(patient);
   }
 }
 
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -84,7 +84,7 @@
       relays_(loop, gateways_, entry_of(settings.service)),
       configuration_(
           loop, pool, objects, relays_, settings,
-          {proving_wait(settings.revocation_limit, configuration_wait),
+          {max_watch_wait(settings.revocation_limit, configuration_wait),
            share_of(settings.configuration_notice, configuration_pause_share),
            policy.repeats_listings, initial_pause(settings.endpoint_notice)},
           targets.metrics),
@@ -104,7 +104,7 @@
           }),
       notifier_(
           loop, pool, [this] { return follower_.watchers(); },
-          entry_of(settings.service), policy.news) {}
+          entry_of(settings.service), policy.peer_notifier) {}
 
 void platform_view::serve(rpc_server& server) {
   server_.serve(server);
@@ -142,13 +142,13 @@
 }
 
 // The times of a response that the platform has just sent.
-answer_times platform_view::times_from_platform() const {
+reply_times platform_view::times_from_platform() const {
   return {loop_.now_ms(), objects_.unserved_at_ms()};
 }
 
 // The times of a reply that has just come from a watching gateway, which sent
 // the rest of the grace period.
-answer_times platform_view::times_from_peer(
+reply_times platform_view::times_from_peer(
     const records::EndpointChanges& changes) const {
   const std::uint64_t now = loop_.now_ms();
   return {now, 0, now + changes.lapse_left_ms()};
@@ -179,7 +179,7 @@
     return;
   }
   const std::vector<relay_peer> peers = relays_.peers();
-  targets_.endpoints.share_cold(
+  targets_.endpoints.update_cold_shares(
       [&](const cold_limit& limit, const endpoint& of) {
         return cold_share(limit, of.identity, of.data_centre, own_, peers);
       },
@@ -195,10 +195,10 @@
       [this](const platform::object_changes& found, std::uint64_t after) {
         apply(decoder_.decode_changes(found, after), times_from_platform());
       });
-  endpoints_.start_held();
+  endpoints_.start_paused();
 }
 
-void platform_view::ask_sign_of_life(std::function<void()> on_reply) {
+void platform_view::probe_peer(std::function<void()> on_reply) {
   const relay_source peers = relays_.source();
   const std::string peer = peers.pick();
   if (peer.empty() || probe_call_.running()) {
@@ -244,8 +244,8 @@
 // ---- Watches ---------------------------------------------------------------
 
 bool platform_view::pause_watches() {
-  const bool paused = endpoints_.hold() && configuration_.pause() &&
-                      registry_.hold() && evacuations_.pause();
+  const bool paused = endpoints_.pause() && configuration_.pause() &&
+                      registry_.pause() && evacuations_.pause();
   server_.wake();  // callers have to poll another gateway
   return paused;
 }
@@ -253,14 +253,15 @@
 void platform_view::resume_watches() {
   // Other gateways depend on a watcher, so it retries sooner.
   const bool patient = !follower_.is_watcher();
-  endpoints_.release(patient);
+  endpoints_.resume(patient);
   configuration_.resume(patient);
-  registry_.release(patient);
+  registry_.resume(patient);
   evacuations_.resume(patient);
 }
 
 bool platform_view::is_watching() const {
-  return !endpoints_.held() && endpoints_.reachable() && log_.revision() != 0;
+  return !endpoints_.is_paused() && endpoints_.reachable() &&
+         log_.revision() != 0;
 }
 
 watch_position platform_view::position() const {
@@ -282,7 +283,7 @@
   }
   endpoints_.advance(endpoints_.revision());
   if (reply.group_revision() != 0) {
-    registry_.take_told(reply.group(), reply.group_revision());
+    registry_.apply_update(reply.group(), reply.group_revision());
   }
   if (reply.configuration() > configuration_.document().version) {
     configuration_.apply_document(
@@ -354,7 +355,7 @@
 }
 
 void platform_view::apply(const records::EndpointChanges& changes,
-                          const answer_times& times) {
+                          const reply_times& times) {
   endpoints_.advance(changes.revision());
   std::uint64_t kept_until = 0;
   if (changes.whole()) {
@@ -377,7 +378,7 @@
 
 // Returns the end of the grace period of missing endpoints; 0: none are kept.
 std::uint64_t platform_view::apply_listing(
-    const records::EndpointChanges& changes, const answer_times& times) {
+    const records::EndpointChanges& changes, const reply_times& times) {
   withdraw(changes);  // first, so that they don't count as missing
   std::vector<endpoint> listed;
   for (const records::EndpointChange& each : changes.changes()) {
@@ -386,25 +387,25 @@
   }
   const std::vector<std::string> kept =
       targets_.endpoints.replace(listed, changes.after_loss(), times);
-  log_info(
-      "endpoints_listed",
-      {{"count", std::to_string(listed.size())},
-       {"revision", std::to_string(changes.revision())},
-       {"after_loss", changes.after_loss() ? "yes" : "no"},
-       {"unserved_ms_ago", std::to_string(times.now_ms - times.unserved_ms)},
-       {"kept", ids_text(kept)}});
+  log_info("endpoints_listed",
+           {{"count", std::to_string(listed.size())},
+            {"revision", std::to_string(changes.revision())},
+            {"after_loss", changes.after_loss() ? "yes" : "no"},
+            {"unserved_ms_ago",
+             std::to_string(times.now_ms - times.last_failed_call_ms)},
+            {"kept", ids_text(kept)}});
   if (kept.empty()) {
     return 0;
   }
   return targets_.endpoints.kept_until(changes.after_loss()
-                                           ? absence::listed_after_loss
-                                           : absence::nearly_all_at_once,
+                                           ? missing_cause::absent_after_outage
+                                           : missing_cause::mass_removal,
                                        times);
 }
 
 // Returns the end of the grace period of removed endpoints; 0: none are kept.
 std::uint64_t platform_view::apply_changes(
-    const records::EndpointChanges& changes, const answer_times& times) {
+    const records::EndpointChanges& changes, const reply_times& times) {
   const auto removed = std::count_if(
       changes.changes().begin(), changes.changes().end(),
       [](const records::EndpointChange& each) { return each.removed(); });
@@ -416,7 +417,7 @@
              {{"removed", std::to_string(removed)},
               {"known", std::to_string(targets_.endpoints.size())},
               {"unserved_ms_ago",
-               std::to_string(times.now_ms - times.unserved_ms)}});
+               std::to_string(times.now_ms - times.last_failed_call_ms)}});
   }
   for (const records::EndpointChange& each : changes.changes()) {
     const endpoint_identity instance = identity_of(each.record());
@@ -425,13 +426,13 @@
       log_restart(changed);
       targets_.endpoints.update(changed, times.now_ms);
     } else if (expired) {
-      targets_.endpoints.lapse(instance, changes.revision(), times);
+      targets_.endpoints.expire(instance, changes.revision(), times);
     } else {
       targets_.endpoints.remove(instance, changes.revision());
     }
   }
   return expired
-             ? targets_.endpoints.kept_until(absence::nearly_all_at_once, times)
+             ? targets_.endpoints.kept_until(missing_cause::mass_removal, times)
              : 0;
 }
 
@@ -458,14 +459,14 @@
   }
   for (const records::EndpointIdentity& each : report.failed()) {
     targets_.metrics.add("endpoint_failures_reported_total");
-    if (targets_.endpoints.report_failure(decode(each), report.gateway(),
-                                          loop_.now_ms())) {
+    if (targets_.endpoints.record_peer_failure(decode(each), report.gateway(),
+                                               loop_.now_ms())) {
       log_avoided(each, report);
     }
   }
   for (const records::EndpointIdentity& each : report.superseded()) {
     targets_.metrics.add("superseded_endpoints_reported_total");
-    if (targets_.endpoints.supersede(decode(each))) {
+    if (targets_.endpoints.mark_superseded(decode(each))) {
       log_avoided(each, report);
     }
   }
--- a/src/gateway/watch_follower.cc
+++ b/src/gateway/watch_follower.cc
@@ -64,14 +64,15 @@
   const auto act_on = [this](const auto& each) { act(each); };
   const std::uint64_t now = loop_.now_ms();
   if (handlers_.position().endpoints_revision != 0) {
-    std::visit(act_on, roles_.next(peers_.peers(), now));
+    std::visit(act_on, roles_.next_step(peers_.peers(), now));
     return;
   }
   const bool queries_platform = role_ == role::watching;
-  std::visit(act_on, queries_platform
-                         ? roles_.beside_platform(peers_.peers(), now)
-                         : roles_.first(peers_.peers(), handlers_.is_listed(),
-                                        milliseconds(now - started_ms_), now));
+  std::visit(act_on,
+             queries_platform
+                 ? roles_.peer_step(peers_.peers(), now)
+                 : roles_.initial_step(peers_.peers(), handlers_.is_listed(),
+                                       milliseconds(now - started_ms_), now));
 }
 
 void watch_follower::act(const wait_for_peers&) {
@@ -83,7 +84,7 @@
   step_timer_ = loop_.after(role_check_period, [this] { step(); });
 }
 
-void watch_follower::act(const ask_watcher& watcher) {
+void watch_follower::act(const poll_watcher& watcher) {
   poll_ = pool_.ask<records::WatchReply>(
       watcher.address, "Watch", request(), timing_.wait + timing_.reply_timeout,
       [this, from = watcher.address,
@@ -119,13 +120,13 @@
       on_watcher(from);
     }
   } else if (has_content || !reply || !had_no_state) {
-    roles_.unusable(from, loop_.now_ms());
+    roles_.on_failure(from, loop_.now_ms());
   }  // else: both have just started
   step_timer_ = loop_.after(poll_pause, [this] { step(); });
 }
 
 void watch_follower::on_watcher(const std::string& from) {
-  roles_.heard(from);
+  roles_.on_reply(from);
   if (handlers_.pause()) {
     set_role(role::polling, from);
   }
--- a/test/endpoint_directory_test.cc
+++ b/test/endpoint_directory_test.cc
@@ -2,7 +2,7 @@
 #include "trayrock/internal/gateway/endpoint_directory.h"
 
 #include "test_support.h"
-#include "trayrock/internal/decide/lapse_rule.h"
+#include "trayrock/internal/decide/record_expiry.h"
 
 namespace trayrock::testing {
 namespace {
@@ -60,7 +60,7 @@
   void expired_endpoint_is_kept_for_the_grace_period() {
     endpoint_directory endpoints;
     endpoints.replace({named("a")}, false, {start_ms});
-    endpoints.lapse({"a"}, 0, {start_ms});
+    endpoints.expire({"a"}, 0, {start_ms});
     endpoints.sweep(start_ms + 2000);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), chosen(endpoints, start_ms + 2000));
     endpoints.update(named("a"), start_ms);
@@ -71,7 +71,7 @@
   void expired_endpoint_is_removed_after_the_grace_period() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
-    endpoints.lapse({"a"}, 0, {start_ms});
+    endpoints.expire({"a"}, 0, {start_ms});
     endpoints.sweep(start_ms + 2500);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
@@ -81,7 +81,7 @@
     endpoint draining = named("a");
     draining.draining = true;
     endpoints.replace({draining, named("b")}, false, {start_ms});
-    endpoints.lapse({"a"}, 0, {start_ms});
+    endpoints.expire({"a"}, 0, {start_ms});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoints.size());
   }
 
@@ -115,11 +115,11 @@
   }
 
   void few_removals_do_not_count_as_expired() {
-    CPPUNIT_ASSERT(lapsed_at_once(68, 68));
-    CPPUNIT_ASSERT(lapsed_at_once(3, 4));
-    CPPUNIT_ASSERT(!lapsed_at_once(34, 68));
-    CPPUNIT_ASSERT(!lapsed_at_once(2, 2));
-    CPPUNIT_ASSERT(!lapsed_at_once(0, 0));
+    CPPUNIT_ASSERT(is_mass_expiry(68, 68));
+    CPPUNIT_ASSERT(is_mass_expiry(3, 4));
+    CPPUNIT_ASSERT(!is_mass_expiry(34, 68));
+    CPPUNIT_ASSERT(!is_mass_expiry(2, 2));
+    CPPUNIT_ASSERT(!is_mass_expiry(0, 0));
   }
 
   void refusing_endpoint_does_not_count_as_least_loaded() {
@@ -134,7 +134,7 @@
     endpoints.replace({named("a")}, false, {start_ms});
     attempt_at(endpoints, "a", attempt_outcome::refused);
     endpoints.update(named("b"), start_ms);
-    endpoint_directory::begin(*state_of(endpoints, "b"), start_ms);
+    endpoint_directory::begin_attempt(*state_of(endpoints, "b"), start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), chosen(endpoints, start_ms + 500));
   }
 
@@ -149,15 +149,15 @@
   void instance_reported_as_superseded_gets_no_requests() {
     endpoint_directory endpoints;
     endpoints.replace({named("a"), named("b")}, false, {start_ms});
-    CPPUNIT_ASSERT(endpoints.supersede({"a"}));
-    CPPUNIT_ASSERT(!endpoints.supersede({"a"}));
+    CPPUNIT_ASSERT(endpoints.mark_superseded({"a"}));
+    CPPUNIT_ASSERT(!endpoints.mark_superseded({"a"}));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen(endpoints, start_ms + 10));
   }
 
   void report_received_before_the_record_counts() {
     endpoint_directory endpoints;
     endpoints.replace({named("b")}, false, {start_ms});
-    endpoints.supersede({"a"});
+    endpoints.mark_superseded({"a"});
     endpoints.update(named("a"), start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), chosen(endpoints, start_ms + 10));
   }
@@ -173,7 +173,7 @@
 
   static std::shared_ptr<endpoint_state> state_of(
       const endpoint_directory& endpoints, const std::string& id) {
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.service = service;
     wanted.preferred = {id};
     auto found = endpoints.choose(wanted, start_ms);
@@ -185,13 +185,13 @@
   static void attempt_at(endpoint_directory& endpoints, const std::string& id,
                          attempt_outcome outcome) {
     const auto at = state_of(endpoints, id);
-    endpoint_directory::begin(*at, start_ms);
-    endpoint_directory::end(*at, outcome, 1, start_ms);
+    endpoint_directory::begin_attempt(*at, start_ms);
+    endpoint_directory::end_attempt(*at, outcome, 1, start_ms);
   }
 
   static std::string chosen(const endpoint_directory& endpoints,
                             std::uint64_t now_ms) {
-    endpoint_choice wanted;
+    endpoint_criteria wanted;
     wanted.service = service;
     const auto found = endpoints.choose(wanted, now_ms);
     return found == nullptr ? std::string() : found->record.identity.id;
