--- a/include/trayrock/internal/gateway/peer_news.h
+++ b/include/trayrock/internal/gateway/peer_news.h
@@ -12,7 +12,7 @@
 // Example:
 //   peer_news notifier(loop, pool, receivers, own, peer_notifier_policy());
 //   notifier.serve(rpc, handlers);
-//   notifier.record_peer_failure(endpoint);
+//   notifier.report_failure(endpoint);
 //   notifier.report_superseded(endpoint);
 //   notifier.announce_configuration(7);
 #pragma once
@@ -65,7 +65,7 @@
   void serve(rpc_server& server, notification_handlers handlers);
 
   // A request of this gateway failed at the endpoint.
-  void record_peer_failure(const endpoint_identity& endpoint);
+  void report_failure(const endpoint_identity& endpoint);
 
   // This gateway has found another instance at the endpoint's address.
   void report_superseded(const endpoint_identity& endpoint);
--- a/include/trayrock/internal/gateway/platform_view.h
+++ b/include/trayrock/internal/gateway/platform_view.h
@@ -75,8 +75,8 @@
 
   // Reports to other gateways that a request failed at the endpoint, or that
   // another instance has its address.
-  void record_peer_failure(const endpoint_identity& at) {
-    notifier_.record_peer_failure(at);
+  void report_failure(const endpoint_identity& at) {
+    notifier_.report_failure(at);
   }
   void report_superseded(const endpoint_identity& at) {
     notifier_.report_superseded(at);
--- a/src/gateway/peer_news.cc
+++ b/src/gateway/peer_news.cc
@@ -88,7 +88,7 @@
       });
 }
 
-void peer_news::record_peer_failure(const endpoint_identity& endpoint) {
+void peer_news::report_failure(const endpoint_identity& endpoint) {
   if (policy_.failures && failed_endpoints_.size() < max_failed) {
     failed_endpoints_.insert(endpoint);
     schedule_send();
