--- a/include/trayrock/internal/gateway/endpoint_directory.h
+++ b/include/trayrock/internal/gateway/endpoint_directory.h
@@ -7,7 +7,7 @@
 // Example:
 //   endpoint_directory endpoints;
 //   endpoints.replace(listed, false, now);
-//   endpoint_choice wanted;
+//   endpoint_criteria wanted;
 //   wanted.service = "chat";
 //   const auto to = endpoints.choose(wanted, now);  // nullptr: none
 #pragma once
--- a/src/gateway/endpoint_directory.cc
+++ b/src/gateway/endpoint_directory.cc
@@ -150,7 +150,7 @@
   rebuild_index();
 }
 
-// The known instance to which that removal applies, or end.
+// The known instance to which that removal applies, or by_id_.end().
 endpoint_directory::known_endpoints::iterator endpoint_directory::find_removed(
     const endpoint_identity& removed, std::uint64_t revision) {
   const auto known = by_id_.find(removed.id);
