--- a/include/trayrock/internal/gateway/endpoint_entries.h
+++ b/include/trayrock/internal/gateway/endpoint_entry_decoder.h
@@ -5,7 +5,7 @@
 // of its revisions.
 //
 // Example:
-//   endpoint_entries decoder(metrics);
+//   endpoint_entry_decoder decoder(metrics);
 //   apply(decoder.decode_listing(found, after_loss));
 #pragma once
 
@@ -20,9 +20,10 @@
 
 namespace trayrock {
 
-class endpoint_entries {
+class endpoint_entry_decoder {
  public:
-  explicit endpoint_entries(metrics_registry& metrics) : metrics_(metrics) {}
+  explicit endpoint_entry_decoder(metrics_registry& metrics)
+      : metrics_(metrics) {}
 
   records::EndpointChanges decode_listing(const platform::object_listing& found,
                                           bool after_loss);
--- a/include/trayrock/internal/gateway/peer_news.h
+++ b/include/trayrock/internal/gateway/peer_notifier.h
@@ -10,7 +10,7 @@
 // the gateway that watches for it.
 //
 // Example:
-//   peer_news notifier(loop, pool, receivers, own, peer_notifier_policy());
+//   peer_notifier notifier(loop, pool, receivers, own, peer_notifier_policy());
 //   notifier.serve(rpc, handlers);
 //   notifier.report_failure(endpoint);
 //   notifier.report_superseded(endpoint);
@@ -50,15 +50,15 @@
   std::function<void(const records::EndpointNews&)> on_sent;
 };
 
-class peer_news {
+class peer_notifier {
  public:
   // All references must outlive the object. `receivers` returns the addresses
   // of the gateways to notify.
-  peer_news(event_loop& loop, rpc_pool& pool,
-            std::function<std::vector<std::string>()> receivers,
-            platform::gateway_entry own, peer_notifier_policy policy);
-  peer_news(const peer_news&) = delete;
-  peer_news& operator=(const peer_news&) = delete;
+  peer_notifier(event_loop& loop, rpc_pool& pool,
+                std::function<std::vector<std::string>()> receivers,
+                platform::gateway_entry own, peer_notifier_policy policy);
+  peer_notifier(const peer_notifier&) = delete;
+  peer_notifier& operator=(const peer_notifier&) = delete;
 
   // Receives notifications through this server, which also serves requests for
   // the current configuration.
--- a/include/trayrock/internal/gateway/platform_view.h
+++ b/include/trayrock/internal/gateway/platform_view.h
@@ -23,10 +23,10 @@
 #include "trayrock/internal/gateway/configuration.h"
 #include "trayrock/internal/gateway/configuration_view.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
-#include "trayrock/internal/gateway/endpoint_entries.h"
+#include "trayrock/internal/gateway/endpoint_entry_decoder.h"
 #include "trayrock/internal/gateway/evacuation_view.h"
 #include "trayrock/internal/gateway/gateway_policy.h"
-#include "trayrock/internal/gateway/peer_news.h"
+#include "trayrock/internal/gateway/peer_notifier.h"
 #include "trayrock/internal/gateway/peer_relays.h"
 #include "trayrock/internal/gateway/watch_follower.h"
 #include "trayrock/internal/gateway/watch_log.h"
@@ -129,11 +129,11 @@
   peer_relays relays_;
   configuration_view configuration_;
   evacuation_view evacuations_;
-  endpoint_entries decoder_;
+  endpoint_entry_decoder decoder_;
   watch_log log_;
   watch_follower follower_;
   watch_server server_;
-  peer_news notifier_;
+  peer_notifier notifier_;
   std::function<void()> changed_;
   std::map<std::uint64_t, std::uint64_t> reports_received_ms_;  // by id
   timer sweep_timer_;
--- a/src/gateway/endpoint_entries.cc
+++ b/src/gateway/endpoint_entry_decoder.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/gateway/endpoint_entries.h"
+#include "trayrock/internal/gateway/endpoint_entry_decoder.h"
 
 #include <utility>
 
@@ -20,7 +20,7 @@
   return name.substr(0, max_logged_name_length);
 }
 
-records::EndpointChanges endpoint_entries::decode_listing(
+records::EndpointChanges endpoint_entry_decoder::decode_listing(
     const platform::object_listing& found, bool after_loss) {
   records::EndpointChanges changes;
   changes.set_whole(true);
@@ -32,7 +32,7 @@
   return changes;
 }
 
-records::EndpointChanges endpoint_entries::decode_changes(
+records::EndpointChanges endpoint_entry_decoder::decode_changes(
     const platform::object_changes& found, std::uint64_t after) {
   records::EndpointChanges changes;
   changes.set_after(after);
@@ -51,8 +51,8 @@
   return changes;
 }
 
-void endpoint_entries::add(const platform::stored_object& object,
-                           records::EndpointChanges& changes) {
+void endpoint_entry_decoder::add(const platform::stored_object& object,
+                                 records::EndpointChanges& changes) {
   const result<endpoint> decoded = platform::decode_endpoint(object);
   if (decoded) {
     *changes.add_changes()->mutable_record() = encode(decoded.value());
@@ -65,8 +65,8 @@
   record_unusable(object, decoded.error());
 }
 
-void endpoint_entries::record_unusable(const platform::stored_object& object,
-                                       std::error_code why) {
+void endpoint_entry_decoder::record_unusable(
+    const platform::stored_object& object, std::error_code why) {
   metrics_.add("endpoint_entries_unusable_total",
                {{"error", std::to_string(why.value())}});
   if (logged_revisions_.size() >= max_logged_revisions) {
--- a/src/gateway/peer_news.cc
+++ b/src/gateway/peer_notifier.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/gateway/peer_news.h"
+#include "trayrock/internal/gateway/peer_notifier.h"
 
 #include <random>
 #include <vector>
@@ -42,16 +42,17 @@
 
 }  // namespace
 
-peer_news::peer_news(event_loop& loop, rpc_pool& pool,
-                     std::function<std::vector<std::string>()> receivers,
-                     platform::gateway_entry own, peer_notifier_policy policy)
+peer_notifier::peer_notifier(
+    event_loop& loop, rpc_pool& pool,
+    std::function<std::vector<std::string>()> receivers,
+    platform::gateway_entry own, peer_notifier_policy policy)
     : loop_(loop),
       pool_(pool),
       receivers_(std::move(receivers)),
       own_(std::move(own)),
       policy_(policy) {}
 
-void peer_news::serve(rpc_server& server, notification_handlers handlers) {
+void peer_notifier::serve(rpc_server& server, notification_handlers handlers) {
   handlers_ = std::move(handlers);
   server.handle_typed<records::GatewayNews>(
       "News",
@@ -88,39 +89,39 @@
       });
 }
 
-void peer_news::report_failure(const endpoint_identity& endpoint) {
+void peer_notifier::report_failure(const endpoint_identity& endpoint) {
   if (policy_.failures && failed_endpoints_.size() < max_failed) {
     failed_endpoints_.insert(endpoint);
     schedule_send();
   }
 }
 
-void peer_news::report_superseded(const endpoint_identity& endpoint) {
+void peer_notifier::report_superseded(const endpoint_identity& endpoint) {
   if (policy_.superseded && superseded_endpoints_.size() < max_superseded) {
     superseded_endpoints_.insert(endpoint);
     schedule_send();
   }
 }
 
-void peer_news::announce_endpoints_revision(std::uint64_t revision) {
+void peer_notifier::announce_endpoints_revision(std::uint64_t revision) {
   if (policy_.revisions && revision > endpoints_revision_) {
     endpoints_revision_ = revision;
     schedule_send();
   }
 }
 
-void peer_news::announce_configuration(std::uint64_t version) {
+void peer_notifier::announce_configuration(std::uint64_t version) {
   configuration_ = version;
   schedule_send();
 }
 
-void peer_news::schedule_send() {
+void peer_notifier::schedule_send() {
   if (!batch_timer_.pending()) {
     batch_timer_ = loop_.after(batch_delay, [this] { send(); });
   }
 }
 
-records::GatewayNews peer_news::take_batch() {
+records::GatewayNews peer_notifier::take_batch() {
   records::GatewayNews notification;
   notification.set_gateway(own_.name);
   notification.set_address(own_.address);
@@ -141,7 +142,7 @@
   return notification;
 }
 
-void peer_news::send() {
+void peer_notifier::send() {
   const std::vector<std::string> peers = receivers_();
   if (peers.empty()) {
     batch_timer_ = loop_.after(no_peers_retry_delay, [this] { send(); });
@@ -159,7 +160,7 @@
   }
 }
 
-void peer_news::fetch_configuration(const std::string& from) {
+void peer_notifier::fetch_configuration(const std::string& from) {
   if (fetch_call_.running()) {
     return;
   }
--- a/test/unusable_places_test.cc
+++ b/test/endpoint_eligibility_test.cc
@@ -58,8 +58,8 @@
   return sent;
 }
 
-class unusable_places_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(unusable_places_test);
+class endpoint_eligibility_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(endpoint_eligibility_test);
   CPPUNIT_TEST(evacuated_endpoints_get_no_requests);
   CPPUNIT_TEST(none_is_chosen_while_all_data_centres_are_evacuated);
   CPPUNIT_TEST(endpoint_registered_during_an_evacuation_gets_no_requests);
@@ -154,7 +154,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(unusable_places_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(endpoint_eligibility_test);
 
 }  // namespace
 }  // namespace trayrock::testing
