--- a/include/trayrock/internal/gateway/peer_relays.h
+++ b/include/trayrock/internal/gateway/peer_relays.h
@@ -37,10 +37,10 @@
   relay_source source();
 
   // Adds a peer that has contacted this gateway.
-  void add(const relay_peer& peer) { choice_.add(peer); }
+  void add(const relay_peer& peer) { selector_.add(peer); }
 
   // The known peers, without this gateway.
-  std::vector<relay_peer> peers() const { return choice_.peers(); }
+  std::vector<relay_peer> peers() const { return selector_.peers(); }
 
   // Whether a list of gateways has included this one.
   bool is_listed() const { return is_listed_; }
@@ -58,7 +58,7 @@
   event_loop& loop_;
   platform::gateway_registry& registry_;
   platform::gateway_entry own_;
-  relay_selector choice_;
+  relay_selector selector_;
   bool refreshing_ = false;
   bool is_listed_ = false;
   std::function<void()> on_listed_;
--- a/src/gateway/endpoint_log_lines.cc
+++ b/src/gateway/endpoint_log_lines.cc
@@ -59,11 +59,11 @@
 }
 
 void log_avoided(const records::EndpointIdentity& instance,
-                 const records::EndpointNews& news) {
+                 const records::EndpointNews& report) {
   log_info("endpoint_avoided",
            {{"endpoint", instance.id()},
             {"started_ms", std::to_string(instance.started_ms())},
-            {"by", "report of " + news.gateway()}});
+            {"by", "report of " + report.gateway()}});
 }
 
 }  // namespace trayrock
--- a/src/gateway/endpoint_log_lines.h
+++ b/src/gateway/endpoint_log_lines.h
@@ -20,6 +20,6 @@
 
 // Logs that an instance is in backoff after a report of another gateway.
 void log_avoided(const records::EndpointIdentity& instance,
-                 const records::EndpointNews& news);
+                 const records::EndpointNews& report);
 
 }  // namespace trayrock
--- a/src/gateway/peer_relays.cc
+++ b/src/gateway/peer_relays.cc
@@ -47,7 +47,7 @@
     : loop_(loop),
       registry_(registry),
       own_(std::move(own)),
-      choice_(own_.name, own_.data_centre),
+      selector_(own_.name, own_.data_centre),
       list_repeat_delay_(initial_list_repeat_delay) {}
 
 // Entries outlive their processes. After a power loss most gateways find
@@ -129,7 +129,7 @@
   for (const platform::gateway_entry& each : listed) {
     peers.push_back({each.name, each.address, each.data_centre});
   }
-  choice_.replace(peers);
+  selector_.replace(peers);
   log_info("peers_listed", {{"count", std::to_string(peers.size())}});
 }
 
@@ -137,20 +137,20 @@
   relay_source made;
   made.pick = [this] { return pick(); };
   made.failed = [this](const std::string& address, relay_failure how) {
-    choice_.record_failure(address, how, loop_.now_ms());
+    selector_.record_failure(address, how, loop_.now_ms());
   };
   made.passed_on = [this](const std::string& address) {
-    choice_.record_success(address, loop_.now_ms());
+    selector_.record_success(address, loop_.now_ms());
   };
   return made;
 }
 
 std::string peer_relays::pick() {
   const std::uint64_t now = loop_.now_ms();
-  if (choice_.all_in_backoff(now)) {
+  if (selector_.all_in_backoff(now)) {
     refresh_peers();
   }
-  return choice_.pick(now);
+  return selector_.pick(now);
 }
 
 void peer_relays::refresh_peers() {
--- a/test/evacuation_path_test.cc
+++ b/test/evacuation_path_test.cc
@@ -32,16 +32,17 @@
   });
 }
 
-// Whether ten requests through the gateway all avoid the runner.
-bool avoids(service_deployment& system, int number, const std::string& runner) {
+// Whether ten requests through the gateway all avoid the endpoint.
+bool avoids(service_deployment& system, int number,
+            const std::string& endpoint) {
   static int attempts = 0;
   constexpr int tries = 10;
-  const std::size_t before = system.counts(runner)["runs"].size();
+  const std::size_t before = system.counts(endpoint)["runs"].size();
   for (int i = 0; i < tries; ++i) {
     system.request(gateway(number), "/safe/a",
                    "attempt-" + std::to_string(++attempts));
   }
-  return system.counts(runner)["runs"].size() == before;
+  return system.counts(endpoint)["runs"].size() == before;
 }
 
 class evacuation_path_test : public CppUnit::TestFixture {
@@ -98,10 +99,10 @@
 
  private:
   static void expect_all_avoid(service_deployment& system,
-                               const std::string& runner) {
+                               const std::string& endpoint) {
     for (int i = 1; i <= gateway_count; ++i) {
-      wait_until(gateway(i) + " avoids " + runner,
-                 [&] { return avoids(system, i, runner); });
+      wait_until(gateway(i) + " avoids " + endpoint,
+                 [&] { return avoids(system, i, endpoint); });
     }
   }
 };
