--- a/include/trayrock/internal/decide/endpoint_health.h
+++ b/include/trayrock/internal/decide/endpoint_health.h
@@ -1,19 +1,19 @@
-// Whether an endpoint is to be left alone for a while, by what requests see.
+// Passive health check of an endpoint: decides from failed requests when the
+// gateway backs off from it. No I/O; the caller passes the time.
 //
-// No I/O; the caller gives the time. Evidence is failures: of this gateway's
-// own requests, and those that other gateways report. It fades within about a
-// second. One gateway's reports alone never suffice, since its own network may
-// be the cause. An endpoint that fails again soon after a pause is left alone
-// for longer. After a pause it is on trial until it has answered: requests that
-// may run only once go elsewhere, since those that it leaves unanswered are
-// lost. One that refuses is left alone for a moment only: it does no harm, but
-// having nothing to do makes it look like the best choice.
+// Failures of this gateway's requests and those that other gateways report
+// count as evidence, which decays exponentially. Reports of a single gateway
+// never suffice, since its own network may be the cause. Repeated failures
+// double the backoff. After a backoff the endpoint is on probation until it
+// responds: requests that may run only once go elsewhere. An endpoint that
+// refuses requests gets a short backoff, since being idle makes it look like
+// the best choice.
 //
 // Example:
 //   endpoint_health health;
-//   health.failed(now);
-//   health.reported("gateway-2", now);
-//   if (health.avoided(now)) use_another();
+//   health.record_failure(now);
+//   health.record_peer_failure("gateway-2", now);
+//   if (health.is_in_backoff(now)) use_another();
 #pragma once
 
 #include <cstdint>
@@ -23,11 +23,9 @@
 
 namespace trayrock {
 
-// What an endpoint's health goes by, beside failures.
 struct health_policy {
-  // One that refuses is left alone for a moment.
   bool pauses_after_refusals = true;
-  // One behind a pause is on trial until it has answered.
+  // After a backoff, the endpoint is on probation until it responds.
   bool tries_behind_pauses = true;
 
   bool operator==(const health_policy&) const = default;
@@ -38,45 +36,45 @@
   endpoint_health() = default;
   explicit endpoint_health(health_policy policy) : policy_(policy) {}
 
-  // A request of this gateway got no whole answer. True if the endpoint is
-  // left alone from now on and was not before; likewise below.
+  // A request of this gateway got no complete response. Returns true if this
+  // starts a backoff; so do the functions below.
   bool failed(std::uint64_t now_ms);
 
-  // A request of another gateway failed there.
+  // A request of another gateway failed at the endpoint.
   bool reported(std::string_view gateway, std::uint64_t now_ms);
 
-  // No connection could be made.
+  // The connection attempt failed.
   bool unreachable(std::uint64_t now_ms);
 
-  // A request was refused, and not run.
+  // The endpoint refused a request without running it.
   bool refused(std::uint64_t now_ms);
 
-  // A request was answered.
   void answered(std::uint64_t now_ms);
 
   bool avoided(std::uint64_t now_ms) const {
-    return paused(now_ms) || refused_until_ms_ > now_ms;
+    return in_failure_backoff(now_ms) || refusal_backoff_until_ms_ > now_ms;
   }
 
-  // True behind a pause, while the endpoint has not answered.
+  // True after a backoff until the endpoint responds.
   bool on_trial(std::uint64_t now_ms) const;
 
  private:
-  // Left alone for its failures.
-  bool paused(std::uint64_t now_ms) const { return avoided_until_ms_ > now_ms; }
+  bool in_failure_backoff(std::uint64_t now_ms) const {
+    return backoff_until_ms_ > now_ms;
+  }
   void add_evidence(std::uint64_t now_ms);
-  bool avoid_if_due(bool due, std::uint64_t now_ms);
+  bool start_backoff_if(bool due, std::uint64_t now_ms);
 
   health_policy policy_;
   double evidence_ = 0;
   std::uint64_t evidence_at_ms_ = 0;
-  std::uint32_t failures_in_row_ = 0;
-  std::uint32_t pauses_in_row_ = 0;
-  std::uint64_t avoided_until_ms_ = 0;
-  std::uint32_t refusals_in_row_ = 0;
-  std::uint64_t refused_until_ms_ = 0;
-  bool answered_since_pause_ = true;
-  // When each gateway's last counted report came.
+  std::uint32_t consecutive_failures_ = 0;
+  std::uint32_t backoff_doublings_ = 0;
+  std::uint64_t backoff_until_ms_ = 0;
+  std::uint32_t refusal_doublings_ = 0;
+  std::uint64_t refusal_backoff_until_ms_ = 0;
+  bool responded_since_backoff_ = true;
+  // When each gateway's last counted report was received.
   std::map<std::string, std::uint64_t, std::less<>> reported_at_ms_;
 };
 
--- a/include/trayrock/internal/decide/endpoint_identity.h
+++ b/include/trayrock/internal/decide/endpoint_identity.h
@@ -1,12 +1,12 @@
-// Which instance of an endpoint is meant: its id and when it was started.
+// Identifies one instance of an endpoint by its id and its start time.
 //
-// An endpoint may start again under the id that it had. It then holds and knows
-// nothing of before, so that whatever was learnt of it belongs to one instance:
-// its health, its requests, what it has cached, reports of others.
+// An endpoint may restart under the same id with empty state. Its health,
+// requests, cache contents and reported failures therefore belong to one
+// instance and must not carry over to the next.
 //
 // Example:
 //   const endpoint_identity known{"runner-1", 1764720000000};
-//   if (listed.is_newer_than(known)) forget(known);
+//   if (listed.is_newer_than(known)) erase(known);
 #pragma once
 
 #include <charconv>
@@ -19,21 +19,21 @@
 
 struct endpoint_identity {
   std::string id;
-  // Unix milliseconds of the instance's start; 0: not told, which counts as
-  // older than any start that is.
+  // Unix milliseconds of the instance's start; 0: unknown, which compares as
+  // older than any known start.
   std::uint64_t started_ms = 0;
 
-  // NOLINTNEXTLINE(modernize-use-nullptr): inside of the generated operator
+  // NOLINTNEXTLINE(modernize-use-nullptr): within the generated operator
   auto operator<=>(const endpoint_identity&) const = default;
 
   bool empty() const { return id.empty(); }
 
-  // A later instance under the same id.
+  // True if this is a later instance under the same id.
   bool is_newer_than(const endpoint_identity& other) const {
     return id == other.id && started_ms > other.started_ms;
   }
 
-  // "ID@STARTED", or the id alone; parse() is its reverse.
+  // "ID@STARTED", or the id alone if the start is unknown; reverse of parse().
   std::string text() const {
     return started_ms == 0 ? id : id + "@" + std::to_string(started_ms);
   }
@@ -47,10 +47,11 @@
     std::uint64_t started = 0;
     const auto [end, error] =
         std::from_chars(digits.data(), digits.data() + digits.size(), started);
-    const bool whole = error == std::errc() && started != 0 &&
-                       end == digits.data() + digits.size();
-    return whole ? endpoint_identity{std::string(text.substr(0, at)), started}
-                 : endpoint_identity{std::string(text), 0};
+    const bool complete = error == std::errc() && started != 0 &&
+                          end == digits.data() + digits.size();
+    return complete
+               ? endpoint_identity{std::string(text.substr(0, at)), started}
+               : endpoint_identity{std::string(text), 0};
   }
 };
 
--- a/include/trayrock/internal/decide/endpoint_state.h
+++ b/include/trayrock/internal/decide/endpoint_state.h
@@ -1,11 +1,10 @@
-// What a gateway knows of one endpoint: its record, and how the attempts there
-// have been doing.
+// A gateway's state of one endpoint: its record, its load and its health.
 //
 // Example:
 //   endpoint_state at;
 //   at.record = listed;
-//   at.health.refused(now);
-//   if (at.health.avoided(now)) use_another();
+//   at.health.record_refusal(now);
+//   if (at.health.is_in_backoff(now)) use_another();
 #pragma once
 
 #include <cstdint>
@@ -20,42 +19,42 @@
 // How an attempt at an endpoint ended.
 enum class attempt_outcome {
   answered,
-  refused,         // the endpoint says that it did not run the request
-  other_instance,  // likewise, since it is not the one that was meant
-  cancelled,       // the client went away first
-  unreachable,     // never sent
-  broken           // sent, and the answer did not come whole
+  refused,         // the endpoint reports that it did not run the request
+  other_instance,  // not run, since it was meant for another instance
+  cancelled,       // the client disconnected first
+  unreachable,     // the request was never sent
+  broken           // sent, but the response did not arrive completely
 };
 
 struct endpoint_state {
   endpoint record;
-  std::uint32_t in_flight = 0;  // of this gateway
+  std::uint32_t in_flight = 0;  // requests of this gateway
   endpoint_health health;
-  double latency_ms = 0;  // smoothed, of answered attempts; 0: none yet
-  std::uint64_t latency_at_ms = 0;  // when the last of them was answered
-  // Not listed any more, and used until then; 0: listed.
+  double latency_ms = 0;            // smoothed, of responses; 0: none yet
+  std::uint64_t latency_at_ms = 0;  // time of the last response
+  // 0: listed; else no longer listed, and usable until this time.
   std::uint64_t kept_until_ms = 0;
-  // Another endpoint sits at its address: this instance does not come back,
-  // whatever a late record of the platform says.
+  // Another endpoint has taken over its address: this instance must not be used
+  // again, even if a delayed platform record still lists it.
   bool superseded = false;
-  bool evacuated = false;  // its data centre is being emptied
+  bool evacuated = false;  // its data centre is being evacuated
 
   cold_limit cold;                  // of its service
-  std::uint64_t cold_until_ms = 0;  // as its record says; 0: it is not
-  // Likewise, where nothing has been said yet: behind an evacuation, or after a
-  // failure that may have been a restart.
+  std::uint64_t cold_until_ms = 0;  // from its record; 0: not cold
+  // Assumed without a record: after an evacuation, or after a failure that may
+  // have been a restart.
   std::uint64_t presumed_cold_until_ms = 0;
-  std::uint32_t cold_share = 0;  // of this gateway, in any second
-  second_window sent;            // where its service has a limit
+  std::uint32_t cold_share = 0;  // requests of this gateway in any second
+  one_second_window sent;        // used where its service has a limit
 
-  // On trial, too, it may have restarted.
+  // An endpoint on probation may have restarted, so it counts as cold.
   bool is_cold(std::uint64_t now_ms) const {
     return cold.exists() &&
            (cold_until_ms > now_ms || presumed_cold_until_ms > now_ms ||
             health.on_trial(now_ms));
   }
 
-  // It is cold, and this gateway has no more requests for it in this second.
+  // True if it is cold and this gateway has used up its share of this second.
   bool takes_no_more(std::uint64_t now_ms) const {
     return is_cold(now_ms) && sent.count(now_ms) >= cold_share;
   }
--- a/src/decide/cold_start.cc
+++ b/src/decide/cold_start.cc
@@ -9,12 +9,12 @@
 namespace trayrock {
 namespace {
 
-// With one request a second, half of the gateways would hold a share each and
-// be refused every second request of a pair.
-constexpr std::uint32_t least_share = 2;
+// With a share of one request, a gateway would reject the second of any two
+// requests within a second.
+constexpr std::uint32_t min_share = 2;
 constexpr std::uint64_t second_ms = 1000;
 
-// Lower comes first.
+// Order in which gateways get a share; lower is first.
 struct precedence {
   bool elsewhere = false;
   std::uint64_t order = 0;
@@ -43,26 +43,26 @@
       std::max(1.0, std::floor(limit.requests_per_second)));
   const auto gateways = static_cast<std::uint32_t>(peers.size() + 1);
   const std::uint32_t share =
-      std::min(allowed, std::max(least_share, allowed / gateways));
-  const std::uint32_t holders = allowed / share;
-  const precedence mine = precedence_of(own, of, data_centre);
-  const auto before =
+      std::min(allowed, std::max(min_share, allowed / gateways));
+  const std::uint32_t share_count = allowed / share;
+  const precedence own_precedence = precedence_of(own, of, data_centre);
+  const auto preceding =
       std::count_if(peers.begin(), peers.end(), [&](const relay_peer& each) {
-        return precedence_of(each, of, data_centre) < mine;
+        return precedence_of(each, of, data_centre) < own_precedence;
       });
-  return before < holders ? share : 0;
+  return preceding < share_count ? share : 0;
 }
 
-void second_window::add(std::uint64_t now_ms) {
-  while (!sent_ms_.empty() && sent_ms_.front() + second_ms <= now_ms) {
-    sent_ms_.pop_front();
+void one_second_window::add(std::uint64_t now_ms) {
+  while (!sent_at_ms_.empty() && sent_at_ms_.front() + second_ms <= now_ms) {
+    sent_at_ms_.pop_front();
   }
-  sent_ms_.push_back(now_ms);
+  sent_at_ms_.push_back(now_ms);
 }
 
-std::size_t second_window::count(std::uint64_t now_ms) const {
+std::size_t one_second_window::count(std::uint64_t now_ms) const {
   return static_cast<std::size_t>(std::count_if(
-      sent_ms_.begin(), sent_ms_.end(),
+      sent_at_ms_.begin(), sent_at_ms_.end(),
       [&](std::uint64_t sent) { return sent + second_ms > now_ms; }));
 }
 
--- a/test/cold_start_test.cc
+++ b/test/cold_start_test.cc
@@ -1,4 +1,4 @@
-// How many requests cold endpoints get from all gateways together.
+// Tests the limit on requests of all gateways to a cold endpoint.
 #include "trayrock/internal/decide/cold_start.h"
 
 #include <algorithm>
@@ -27,7 +27,7 @@
   return all;
 }
 
-// What all gateways together may send in a second.
+// How many requests all gateways together may send in a second.
 std::uint32_t sum_of_shares(const cold_limit& limit,
                             const endpoint_identity& of,
                             const std::vector<relay_peer>& all) {
@@ -41,10 +41,10 @@
 class cold_start_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(cold_start_test);
   CPPUNIT_TEST(shares_add_up_to_the_limit_with_any_number_of_gateways);
-  CPPUNIT_TEST(most_of_the_limit_is_given_out);
-  CPPUNIT_TEST(gateways_that_know_of_too_few_add_one_share_each);
-  CPPUNIT_TEST(gateways_of_the_endpoints_data_centre_go_first);
-  CPPUNIT_TEST(endpoints_are_spread_over_the_gateways);
+  CPPUNIT_TEST(most_of_the_limit_is_assigned);
+  CPPUNIT_TEST(gateways_that_join_add_one_share_each);
+  CPPUNIT_TEST(gateways_of_the_endpoints_data_centre_come_first);
+  CPPUNIT_TEST(shares_are_spread_over_the_gateways);
   CPPUNIT_TEST(window_counts_the_last_second);
   CPPUNIT_TEST_SUITE_END();
 
@@ -61,7 +61,7 @@
     }
   }
 
-  void most_of_the_limit_is_given_out() {
+  void most_of_the_limit_is_assigned() {
     for (const int count : {1, 4, 20, 354}) {
       const std::uint32_t sum =
           sum_of_shares({26, {}}, {"engine"}, gateways(count));
@@ -69,20 +69,20 @@
     }
   }
 
-  // Five gateways have just been added; each knows all others, and the others
-  // know none of them.
-  void gateways_that_know_of_too_few_add_one_share_each() {
+  // Five gateways have just joined: each has all others in its list of peers,
+  // and the others don't have them yet.
+  void gateways_that_join_add_one_share_each() {
     constexpr std::size_t joined = 5;
     const std::vector<relay_peer> all = gateways(25);
-    const std::vector<relay_peer> old(all.begin(), all.end() - joined);
-    std::uint32_t sum = sum_of_shares({26, {}}, {"engine"}, old);
-    for (std::size_t i = old.size(); i < all.size(); ++i) {
+    const std::vector<relay_peer> known(all.begin(), all.end() - joined);
+    std::uint32_t sum = sum_of_shares({26, {}}, {"engine"}, known);
+    for (std::size_t i = known.size(); i < all.size(); ++i) {
       sum += cold_share({26, {}}, {"engine"}, "dc-1", all[i], without(all, i));
     }
-    TRAYROCK_CHECK(sum <= 26 + 2 * joined, "seen " << sum);
+    TRAYROCK_CHECK(sum <= 26 + 2 * joined, "sum of shares " << sum);
   }
 
-  void gateways_of_the_endpoints_data_centre_go_first() {
+  void gateways_of_the_endpoints_data_centre_come_first() {
     const std::vector<relay_peer> all = gateways(100);
     for (std::size_t i = 0; i < all.size(); ++i) {
       const bool has_share =
@@ -92,25 +92,26 @@
     }
   }
 
-  void endpoints_are_spread_over_the_gateways() {
+  void shares_are_spread_over_the_gateways() {
     constexpr int endpoint_count = 100;
     const std::vector<relay_peer> all = gateways(20);
     for (std::size_t i = 0; i < all.size(); ++i) {
-      int held = 0;
+      int share_count = 0;
       for (int j = 0; j < endpoint_count; ++j) {
         const endpoint_identity of{"engine-" + std::to_string(j)};
-        held += cold_share({26, {}}, of, "dc-" + std::to_string(j % 5), all[i],
-                           without(all, i)) > 0
-                    ? 1
-                    : 0;
+        share_count += cold_share({26, {}}, of, "dc-" + std::to_string(j % 5),
+                                  all[i], without(all, i)) > 0
+                           ? 1
+                           : 0;
       }
-      TRAYROCK_CHECK(held > 40, all[i].name << " may send to " << held << " of "
-                                            << endpoint_count);
+      TRAYROCK_CHECK(share_count > 40, all[i].name << " may send to "
+                                                   << share_count << " of "
+                                                   << endpoint_count);
     }
   }
 
   void window_counts_the_last_second() {
-    second_window window;
+    one_second_window window;
     window.add(5000);
     window.add(5400);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, window.count(5400));
