--- a/test/endpoint_choice_load_test.cc
+++ b/test/endpoint_choice_load_test.cc
@@ -1,10 +1,9 @@
-// The choice of endpoints by many gateways, each of which sees its own requests
-// only: plays a heavy load in virtual time and checks what callers get.
+// Simulates a heavy load in virtual time: many gateways, each of which counts
+// only its own requests, choose endpoints. Guards against all gateways sending
+// to the same few endpoints.
 //
-// 91 gateways in five data centres send turns of programs to 128 engines of six
-// slots. Programs come at a rate that fills 0.55 of the slots, and at twice
-// that in a burst; a tenth of the engines take four times as long. The choice
-// is the product's own.
+// Programs arrive at a rate that fills 0.55 of the engines' slots, and twice
+// that in a burst; a tenth of the engines is slow.
 #include <algorithm>
 #include <memory>
 #include <queue>
@@ -23,19 +22,19 @@
 constexpr int turns_of_program = 4;
 constexpr double turn_ms = 150;
 constexpr double slow_factor = 4;
-constexpr double pause_ms = 120;  // a tool's call between two turns
-constexpr double day_ms = 12000;
+constexpr double pause_ms = 120;  // a tool call between two turns
+constexpr double duration_ms = 12000;
 constexpr double burst_from_ms = 3000;
 constexpr double burst_to_ms = 6000;
-constexpr double turns_a_ms = 0.55 * engine_count * slots / turn_ms;
-constexpr double latency_weight = 0.2;  // as gateway/endpoint_directory.cc
+constexpr double turns_per_ms = 0.55 * engine_count * slots / turn_ms;
+constexpr double latency_weight = 0.2;  // as in gateway/endpoint_directory.cc
 
 struct engine {
   bool slow = false;
   int running = 0;
   std::deque<std::size_t> queue;  // turns
   double busy_slot_ms = 0;
-  int begun = 0;
+  int started = 0;
 };
 
 struct turn {
@@ -43,14 +42,14 @@
   int number = 0;  // in its program
   std::string previous;
   int at = -1;  // engine
-  double came_ms = 0;
-  double began_ms = 0;
+  double arrived_ms = 0;
+  double started_ms = 0;
 };
 
 struct event {
   double at_ms = 0;
   std::size_t turn = 0;
-  bool ends = false;  // else it comes
+  bool ends = false;  // else the turn arrives
 };
 struct later {
   bool operator()(const event& left, const event& right) const {
@@ -60,19 +59,19 @@
 
 struct outcome {
   double mean_wait_ms = 0;
-  double late_share = 0;     // turns that waited longer than they took
-  double busiest_share = 0;  // of the busiest engine, against the mean
+  double late_share = 0;     // turns that waited longer than they ran
+  double busiest_share = 0;  // load of the busiest engine relative to the mean
 };
 
-class load_world {
+class load_simulation {
  public:
-  load_world(const choice_policy& policy, std::uint64_t seed)
+  load_simulation(const choice_policy& policy, std::uint64_t seed)
       : policy_(policy), random_(seed), engines_(engine_count) {
     for (std::size_t i = 0; i < engines_.size(); ++i) {
       engines_[i].slow = i % 10 == 3;
     }
     for (int i = 0; i < gateway_count; ++i) {
-      seen_.push_back(states());
+      states_.push_back(states());
     }
   }
 
@@ -82,7 +81,7 @@
       const event next = events_.top();
       events_.pop();
       now_ms_ = next.at_ms;
-      next.ends ? end(next.turn) : come(next.turn);
+      next.ends ? end(next.turn) : arrive(next.turn);
     }
     return result();
   }
@@ -102,33 +101,33 @@
 
   void fill_arrivals() {
     double at = 0;
-    while (at < day_ms) {
+    while (at < duration_ms) {
       const bool burst = at >= burst_from_ms && at < burst_to_ms;
-      const double rate = turns_a_ms / turns_of_program * (burst ? 2 : 1);
+      const double rate = turns_per_ms / turns_of_program * (burst ? 2 : 1);
       at += std::exponential_distribution<double>(rate)(random_);
       turn first;
       first.gateway = static_cast<int>(random_() % gateway_count);
-      first.came_ms = at;
+      first.arrived_ms = at;
       add(first);
     }
   }
 
   void add(const turn& made) {
     turns_.push_back(made);
-    events_.push({made.came_ms, turns_.size() - 1, false});
+    events_.push({made.arrived_ms, turns_.size() - 1, false});
   }
 
-  void come(std::size_t index) {
+  void arrive(std::size_t index) {
     turn& made = turns_[index];
-    endpoint_choice wanted;
-    wanted.preferred = {made.previous};
+    endpoint_choice criteria;
+    criteria.preferred = {made.previous};
     const std::string data_centre =
         std::to_string(made.gateway % data_centre_count);
-    wanted.data_centre = data_centre;
-    wanted.draw = random_();
-    const auto& known = seen_[static_cast<std::size_t>(made.gateway)];
+    criteria.data_centre = data_centre;
+    criteria.draw = random_();
+    const auto& endpoints = states_[static_cast<std::size_t>(made.gateway)];
     const endpoint_state_ptr to = choose_endpoint(
-        known, wanted, policy_, static_cast<std::uint64_t>(now_ms_));
+        endpoints, criteria, policy_, static_cast<std::uint64_t>(now_ms_));
     ++to->in_flight;
     made.at = std::stoi(to->record.identity.id);
     engine& at = engines_[static_cast<std::size_t>(made.at)];
@@ -143,8 +142,8 @@
     turn& made = turns_[index];
     engine& at = engines_[static_cast<std::size_t>(made.at)];
     ++at.running;
-    ++at.begun;
-    made.began_ms = now_ms_;
+    ++at.started;
+    made.started_ms = now_ms_;
     events_.push(
         {now_ms_ + turn_ms * (at.slow ? slow_factor : 1), index, true});
   }
@@ -158,23 +157,23 @@
       at.queue.pop_front();
       begin(next);
     }
-    endpoint_state& seen = *seen_[static_cast<std::size_t>(done.gateway)]
-                                 [static_cast<std::size_t>(done.at)];
-    --seen.in_flight;
-    const double latency = now_ms_ - done.came_ms;
-    seen.latency_ms =
-        seen.latency_ms == 0
+    endpoint_state& state = *states_[static_cast<std::size_t>(done.gateway)]
+                                    [static_cast<std::size_t>(done.at)];
+    --state.in_flight;
+    const double latency = now_ms_ - done.arrived_ms;
+    state.latency_ms =
+        state.latency_ms == 0
             ? latency
-            : seen.latency_ms + latency_weight * (latency - seen.latency_ms);
-    seen.latency_at_ms = static_cast<std::uint64_t>(now_ms_);
+            : state.latency_ms + latency_weight * (latency - state.latency_ms);
+    state.latency_at_ms = static_cast<std::uint64_t>(now_ms_);
     if (done.number + 1 < turns_of_program) {
       turn next;
-      // A client's connections go to one gateway by a hash; its turns mostly
-      // stay there.
+      // The balancer hashes a client's connections to one gateway, so its turns
+      // mostly stay there.
       next.gateway = done.gateway;
       next.number = done.number + 1;
       next.previous = std::to_string(done.at);
-      next.came_ms = now_ms_ + pause_ms;
+      next.arrived_ms = now_ms_ + pause_ms;
       add(next);
     }
   }
@@ -182,7 +181,7 @@
   outcome result() const {
     outcome made;
     for (const turn& each : turns_) {
-      const double waited = each.began_ms - each.came_ms;
+      const double waited = each.started_ms - each.arrived_ms;
       made.mean_wait_ms += waited;
       made.late_share += waited > turn_ms ? 1 : 0;
     }
@@ -191,7 +190,7 @@
     made.late_share /= count;
     int busiest = 0;
     for (const engine& each : engines_) {
-      busiest = std::max(busiest, each.begun);
+      busiest = std::max(busiest, each.started);
     }
     made.busiest_share = busiest * engine_count / count;
     return made;
@@ -200,17 +199,17 @@
   choice_policy policy_;
   std::mt19937_64 random_;
   std::vector<engine> engines_;
-  std::vector<std::vector<endpoint_state_ptr>> seen_;  // by each gateway
+  std::vector<std::vector<endpoint_state_ptr>> states_;  // by gateway
   std::vector<turn> turns_;
   std::priority_queue<event, std::vector<event>, later> events_;
   double now_ms_ = 0;
 };
 
-outcome play(const choice_policy& policy) {
+outcome simulate(const choice_policy& policy) {
   constexpr int seeds = 5;
   outcome mean;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    const outcome each = load_world(policy, seed).run();
+    const outcome each = load_simulation(policy, seed).run();
     mean.mean_wait_ms += each.mean_wait_ms / seeds;
     mean.late_share += each.late_share / seeds;
     mean.busiest_share += each.busiest_share / seeds;
@@ -218,7 +217,7 @@
   return mean;
 }
 
-choice_policy first_of_the_quickest() {
+choice_policy without_load_spreading() {
   choice_policy made;
   made.draws_among_equals = false;
   made.levels_latencies = false;
@@ -233,26 +232,29 @@
 
 class endpoint_choice_load_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(endpoint_choice_load_test);
-  CPPUNIT_TEST(turns_wait_less_when_gateways_do_not_choose_alike);
-  CPPUNIT_TEST(slow_engines_still_get_less);
+  CPPUNIT_TEST(turns_wait_less_when_ties_are_broken_randomly);
+  CPPUNIT_TEST(busiest_engine_gets_a_bounded_share);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void turns_wait_less_when_gateways_do_not_choose_alike() {
-    const outcome before = play(first_of_the_quickest());
-    const outcome after = play({});
-    const std::string seen =
-        "before: " + text_of(before) + "; after: " + text_of(after);
-    CPPUNIT_ASSERT_MESSAGE(seen, after.late_share < 0.7 * before.late_share);
-    CPPUNIT_ASSERT_MESSAGE(seen, after.mean_wait_ms < before.mean_wait_ms);
+  void turns_wait_less_when_ties_are_broken_randomly() {
+    const outcome without_spreading = simulate(without_load_spreading());
+    const outcome with_spreading = simulate({});
+    const std::string text =
+        "without spreading: " + text_of(without_spreading) +
+        "; with spreading: " + text_of(with_spreading);
+    CPPUNIT_ASSERT_MESSAGE(
+        text, with_spreading.late_share < 0.7 * without_spreading.late_share);
+    CPPUNIT_ASSERT_MESSAGE(
+        text, with_spreading.mean_wait_ms < without_spreading.mean_wait_ms);
   }
 
-  void slow_engines_still_get_less() {
-    const outcome drawn = play({});
+  void busiest_engine_gets_a_bounded_share() {
+    const outcome result = simulate({});
     choice_policy blind;
     blind.elsewhere_factor = 1;
-    const std::string seen = text_of(drawn);
-    CPPUNIT_ASSERT_MESSAGE(seen, drawn.busiest_share < 3);
+    const std::string text = text_of(result);
+    CPPUNIT_ASSERT_MESSAGE(text, result.busiest_share < 3);
   }
 };
 
