--- a/test/cold_endpoint_load_test.cc
+++ b/test/cold_endpoint_load_test.cc
@@ -1,6 +1,6 @@
-// Half of a service's endpoints have just started while callers go on: plays
-// the load in virtual time with the product's own choice, and checks what the
-// cold endpoints get and what callers are refused.
+// Simulates in virtual time a load on a service of which half or all endpoints
+// have just started. Guards against overloaded cold endpoints and refused
+// callers.
 #include <algorithm>
 #include <map>
 #include <queue>
@@ -13,34 +13,34 @@
 namespace {
 
 constexpr int data_centre_count = 3;
-constexpr double allowed_a_second = 26;
+constexpr double allowed_per_second = 26;
 constexpr std::uint64_t cold_ms = 3000;
-constexpr std::uint64_t day_ms = 4000;
+constexpr std::uint64_t duration_ms = 4000;
 constexpr std::uint64_t start_ms = 10000;
 constexpr std::uint64_t turn_ms = 300;
 constexpr std::uint32_t capacity = 16;
-// Requests a second for each endpoint; cold ones alone bear twice as many.
-constexpr double load_an_endpoint = 12;
+// Requests a second per endpoint; about half of what a cold endpoint may get.
+constexpr double load_per_endpoint = 12;
 
 struct fleet {
   int gateways = 0;
   int endpoints = 0;
-  bool all_cold = false;  // else every second one
+  bool all_cold = false;  // else every second endpoint
 };
 
 struct outcome {
   int requests = 0;
   int refused = 0;
-  std::size_t most_in_a_second = 0;  // at one cold endpoint, of all gateways
+  std::size_t max_per_second = 0;  // requests to any one cold endpoint
 };
 
 std::string data_centre_of(int number) {
   return "dc-" + std::to_string(number % data_centre_count);
 }
 
-class cold_world {
+class cold_start_simulation {
  public:
-  cold_world(const fleet& size, std::uint64_t seed)
+  cold_start_simulation(const fleet& size, std::uint64_t seed)
       : size_(size), random_(seed) {
     for (int i = 0; i < size.gateways; ++i) {
       peers_.push_back({"gateway-" + std::to_string(i), "", data_centre_of(i)});
@@ -51,11 +51,11 @@
   }
 
   outcome run() {
-    const double rate = load_an_endpoint * size_.endpoints / 1000;  // a ms
+    const double rate = load_per_endpoint * size_.endpoints / 1000;  // per ms
     double at_ms = 0;
-    while (at_ms < day_ms) {
+    while (at_ms < duration_ms) {
       at_ms += std::exponential_distribution<double>(rate)(random_);
-      come(start_ms + static_cast<std::uint64_t>(at_ms));
+      arrive(start_ms + static_cast<std::uint64_t>(at_ms));
     }
     return result();
   }
@@ -68,22 +68,22 @@
   };
 
   void add_gateway(std::size_t own) {
-    configuration held;
-    held.services["s"].name = "s";
-    held.services["s"].cold = {allowed_a_second,
-                               std::chrono::milliseconds(cold_ms)};
-    endpoint_directory known;
-    known.set_cold_limits(held);
-    known.replace(endpoints(), false, {start_ms, start_ms});
+    configuration config;
+    config.services["s"].name = "s";
+    config.services["s"].cold = {allowed_per_second,
+                                 std::chrono::milliseconds(cold_ms)};
+    endpoint_directory directory;
+    directory.set_cold_limits(config);
+    directory.replace(endpoints(), false, {start_ms, start_ms});
     std::vector<relay_peer> others = peers_;
     others.erase(others.begin() + static_cast<std::ptrdiff_t>(own));
-    known.share_cold(
+    directory.share_cold(
         [&](const cold_limit& limit, const endpoint& of) {
           return cold_share(limit, of.identity, of.data_centre, peers_[own],
                             others);
         },
         start_ms);
-    directories_.push_back(std::move(known));
+    directories_.push_back(std::move(directory));
   }
 
   std::vector<endpoint> endpoints() const {
@@ -105,7 +105,7 @@
     return size_.all_cold || endpoint % 2 == 0;
   }
 
-  void come(std::uint64_t now_ms) {
+  void arrive(std::uint64_t now_ms) {
     while (!endings_.empty() && endings_.top().at_ms <= now_ms) {
       const ending done = endings_.top();
       endings_.pop();
@@ -113,14 +113,14 @@
                               done.at_ms);
     }
     const std::size_t own = random_() % directories_.size();
-    endpoint_choice wanted;
-    wanted.service = "s";
-    wanted.data_centre = peers_[own].data_centre;
-    wanted.draw = random_();
-    const endpoint_state_ptr to = directories_[own].choose(wanted, now_ms);
-    ++seen_.requests;
+    endpoint_choice criteria;
+    criteria.service = "s";
+    criteria.data_centre = peers_[own].data_centre;
+    criteria.draw = random_();
+    const endpoint_state_ptr to = directories_[own].choose(criteria, now_ms);
+    ++outcome_.requests;
     if (to == nullptr) {
-      ++seen_.refused;
+      ++outcome_.refused;
       return;
     }
     endpoint_directory::begin(*to, now_ms);
@@ -132,12 +132,12 @@
   }
 
   outcome result() const {
-    outcome made = seen_;
+    outcome made = outcome_;
     for (const auto& [number, times] : arrivals_) {
       for (auto first = times.begin(); first != times.end(); ++first) {
         const auto end = std::lower_bound(first, times.end(), *first + 1000);
-        made.most_in_a_second = std::max(made.most_in_a_second,
-                                         static_cast<std::size_t>(end - first));
+        made.max_per_second = std::max(made.max_per_second,
+                                       static_cast<std::size_t>(end - first));
       }
     }
     return made;
@@ -149,48 +149,48 @@
   std::vector<endpoint_directory> directories_;
   std::priority_queue<ending> endings_;
   std::map<int, std::vector<std::uint64_t>> arrivals_;
-  outcome seen_;
+  outcome outcome_;
 };
 
 class cold_endpoint_load_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(cold_endpoint_load_test);
-  CPPUNIT_TEST(small_fleet_keeps_the_bound_and_serves_all);
-  CPPUNIT_TEST(large_fleet_keeps_the_bound_and_serves_all);
-  CPPUNIT_TEST(all_endpoints_cold_serve_what_the_bound_lets_through);
+  CPPUNIT_TEST(small_fleet_keeps_the_limit_and_serves_all);
+  CPPUNIT_TEST(large_fleet_keeps_the_limit_and_serves_all);
+  CPPUNIT_TEST(all_cold_endpoints_serve_a_load_within_the_limit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void small_fleet_keeps_the_bound_and_serves_all() { check({20, 44, false}); }
+  void small_fleet_keeps_the_limit_and_serves_all() { check({20, 44, false}); }
 
-  void large_fleet_keeps_the_bound_and_serves_all() {
+  void large_fleet_keeps_the_limit_and_serves_all() {
     check({354, 494, false});
   }
 
-  void all_endpoints_cold_serve_what_the_bound_lets_through() {
+  void all_cold_endpoints_serve_a_load_within_the_limit() {
     for (const fleet& size : {fleet{20, 44, true}, fleet{354, 494, true}}) {
-      const outcome seen = cold_world(size, 1).run();
-      const std::string text = text_of(size, seen);
-      CPPUNIT_ASSERT_MESSAGE(text, seen.most_in_a_second <= allowed_a_second);
-      // Half of the bound is asked for.
-      CPPUNIT_ASSERT_MESSAGE(text, seen.refused < seen.requests / 10);
+      const outcome result = cold_start_simulation(size, 1).run();
+      const std::string text = text_of(size, result);
+      CPPUNIT_ASSERT_MESSAGE(text, result.max_per_second <= allowed_per_second);
+      // The load is half of the limit.
+      CPPUNIT_ASSERT_MESSAGE(text, result.refused < result.requests / 10);
     }
   }
 
  private:
   static void check(const fleet& size) {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      const outcome seen = cold_world(size, seed).run();
-      const std::string text = text_of(size, seen);
-      CPPUNIT_ASSERT_MESSAGE(text, seen.most_in_a_second <= allowed_a_second);
-      CPPUNIT_ASSERT_MESSAGE(text, seen.refused == 0);
+      const outcome result = cold_start_simulation(size, seed).run();
+      const std::string text = text_of(size, result);
+      CPPUNIT_ASSERT_MESSAGE(text, result.max_per_second <= allowed_per_second);
+      CPPUNIT_ASSERT_MESSAGE(text, result.refused == 0);
     }
   }
 
-  static std::string text_of(const fleet& size, const outcome& seen) {
+  static std::string text_of(const fleet& size, const outcome& result) {
     return std::to_string(size.gateways) +
-           " gateways: " + std::to_string(seen.refused) + " of " +
-           std::to_string(seen.requests) + " refused, at most " +
-           std::to_string(seen.most_in_a_second) +
+           " gateways: " + std::to_string(result.refused) + " of " +
+           std::to_string(result.requests) + " refused, at most " +
+           std::to_string(result.max_per_second) +
            " in a second at one cold endpoint";
   }
 };
--- a/test/endpoint_health_test.cc
+++ b/test/endpoint_health_test.cc
@@ -1,4 +1,4 @@
-// When an endpoint that fails requests is left alone, and when it is not.
+// Tests when failures, reports and refusals put an endpoint into backoff.
 #include "trayrock/internal/decide/endpoint_health.h"
 
 #include "test_support.h"
@@ -10,23 +10,23 @@
 
 class endpoint_health_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(endpoint_health_test);
-  CPPUNIT_TEST(two_failures_in_a_row_suffice);
-  CPPUNIT_TEST(answers_between_failures_do_not_hide_them);
-  CPPUNIT_TEST(rare_failures_are_borne);
-  CPPUNIT_TEST(reports_of_three_gateways_suffice);
-  CPPUNIT_TEST(reports_of_one_gateway_do_not);
-  CPPUNIT_TEST(pause_ends_and_grows_with_each_relapse);
-  CPPUNIT_TEST(endpoint_without_connection_is_left_alone_at_once);
-  CPPUNIT_TEST(trial_behind_a_pause_ends_with_an_answer);
-  CPPUNIT_TEST(answer_within_a_pause_does_not_end_the_trial);
-  CPPUNIT_TEST(refusal_pauses_for_a_moment);
-  CPPUNIT_TEST(refusals_in_a_row_pause_for_longer);
-  CPPUNIT_TEST(answer_ends_a_row_of_refusals);
-  CPPUNIT_TEST(failure_within_a_refusal_pause_counts);
+  CPPUNIT_TEST(two_consecutive_failures_start_a_backoff);
+  CPPUNIT_TEST(responses_do_not_reset_the_evidence);
+  CPPUNIT_TEST(rare_failures_start_no_backoff);
+  CPPUNIT_TEST(reports_of_three_gateways_start_a_backoff);
+  CPPUNIT_TEST(reports_of_one_gateway_start_no_backoff);
+  CPPUNIT_TEST(backoff_ends_and_doubles_after_a_relapse);
+  CPPUNIT_TEST(failed_connection_starts_a_backoff);
+  CPPUNIT_TEST(probation_after_a_backoff_ends_with_a_response);
+  CPPUNIT_TEST(response_during_a_backoff_does_not_end_probation);
+  CPPUNIT_TEST(refusal_starts_a_short_backoff);
+  CPPUNIT_TEST(consecutive_refusals_double_the_backoff);
+  CPPUNIT_TEST(response_resets_the_refusal_backoff);
+  CPPUNIT_TEST(failure_during_a_refusal_backoff_counts);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void two_failures_in_a_row_suffice() {
+  void two_consecutive_failures_start_a_backoff() {
     endpoint_health health;
     CPPUNIT_ASSERT(!health.failed(start_ms));
     CPPUNIT_ASSERT(!health.avoided(start_ms));
@@ -34,9 +34,9 @@
     CPPUNIT_ASSERT(health.avoided(start_ms + 901));
   }
 
-  // An endpoint that fails a third of its requests used to stay in use, since
-  // each answer made the failures before it forgotten.
-  void answers_between_failures_do_not_hide_them() {
+  // Guards against responses that reset the evidence of failures: an endpoint
+  // that fails a third of its requests must get a backoff.
+  void responses_do_not_reset_the_evidence() {
     endpoint_health health;
     std::uint64_t at = start_ms;
     for (int i = 0; i < 4 && !health.avoided(at); ++i) {
@@ -46,11 +46,11 @@
       at += 100;
     }
     TRAYROCK_CHECK(health.avoided(at),
-                   "four failures in 400 ms, each with "
-                   "two answers behind it: still in use");
+                   "expected a backoff after four failures in 400 ms, each "
+                   "followed by two responses");
   }
 
-  void refusal_pauses_for_a_moment() {
+  void refusal_starts_a_short_backoff() {
     endpoint_health health;
     CPPUNIT_ASSERT(health.refused(start_ms));
     CPPUNIT_ASSERT(health.avoided(start_ms + 59));
@@ -58,7 +58,7 @@
     CPPUNIT_ASSERT(!health.on_trial(start_ms + 60));
   }
 
-  void refusals_in_a_row_pause_for_longer() {
+  void consecutive_refusals_double_the_backoff() {
     endpoint_health health;
     health.refused(start_ms);
     health.refused(start_ms + 100);
@@ -66,7 +66,7 @@
     CPPUNIT_ASSERT(!health.avoided(start_ms + 220));
   }
 
-  void answer_ends_a_row_of_refusals() {
+  void response_resets_the_refusal_backoff() {
     endpoint_health health;
     health.refused(start_ms);
     health.answered(start_ms + 100);
@@ -74,14 +74,14 @@
     CPPUNIT_ASSERT(!health.avoided(start_ms + 260));
   }
 
-  void failure_within_a_refusal_pause_counts() {
+  void failure_during_a_refusal_backoff_counts() {
     endpoint_health health;
     health.refused(start_ms);
     health.failed(start_ms + 10);
     CPPUNIT_ASSERT(health.failed(start_ms + 20));
   }
 
-  void rare_failures_are_borne() {
+  void rare_failures_start_no_backoff() {
     endpoint_health health;
     for (std::uint64_t i = 0; i < 20; ++i) {
       const std::uint64_t at = start_ms + 1500 * i;
@@ -91,7 +91,7 @@
     }
   }
 
-  void reports_of_three_gateways_suffice() {
+  void reports_of_three_gateways_start_a_backoff() {
     endpoint_health health;
     CPPUNIT_ASSERT(!health.reported("gateway-1", start_ms));
     CPPUNIT_ASSERT(!health.reported("gateway-2", start_ms + 10));
@@ -99,7 +99,7 @@
     CPPUNIT_ASSERT(health.avoided(start_ms + 21));
   }
 
-  void reports_of_one_gateway_do_not() {
+  void reports_of_one_gateway_start_no_backoff() {
     endpoint_health health;
     for (std::uint64_t i = 0; i < 200; ++i) {
       health.reported("gateway-1", start_ms + 20 * i);
@@ -107,7 +107,7 @@
     }
   }
 
-  void pause_ends_and_grows_with_each_relapse() {
+  void backoff_ends_and_doubles_after_a_relapse() {
     endpoint_health health;
     CPPUNIT_ASSERT(health.unreachable(start_ms));
     CPPUNIT_ASSERT(!health.avoided(start_ms + 400));
@@ -116,13 +116,13 @@
     CPPUNIT_ASSERT(!health.avoided(start_ms + 500 + 800));
   }
 
-  void endpoint_without_connection_is_left_alone_at_once() {
+  void failed_connection_starts_a_backoff() {
     endpoint_health health;
     CPPUNIT_ASSERT(health.unreachable(start_ms));
     CPPUNIT_ASSERT(health.avoided(start_ms));
   }
 
-  void trial_behind_a_pause_ends_with_an_answer() {
+  void probation_after_a_backoff_ends_with_a_response() {
     endpoint_health health;
     CPPUNIT_ASSERT(!health.on_trial(start_ms));
     health.unreachable(start_ms);
@@ -132,7 +132,7 @@
     CPPUNIT_ASSERT(!health.on_trial(start_ms + 501));
   }
 
-  void answer_within_a_pause_does_not_end_the_trial() {
+  void response_during_a_backoff_does_not_end_probation() {
     endpoint_health health;
     health.unreachable(start_ms);
     health.answered(start_ms + 100);
