--- a/include/trayrock/internal/decide/duration_book.h
+++ b/include/trayrock/internal/decide/duration_book.h
@@ -1,7 +1,6 @@
-// How long requests of each route have lately taken, to say whether one that
-// comes now can still be ended.
-//
-// No I/O, no clock.
+// Estimates the duration of a route's requests from recent ones, to decide
+// whether a new request can still complete before the gateway stops. No I/O and
+// no clock.
 //
 // Example:
 //   duration_book durations;
@@ -19,13 +18,13 @@
 
 namespace trayrock {
 
-// Whether an answer may have reached its client in part when time runs out. A
-// stream that is broken off is lost; a whole answer can be replaced by an
-// error.
+// Whether the client may have received a part of the response when time runs
+// out. An interrupted stream is lost; a response that has not begun can be
+// replaced by an error.
 enum class stops_midway { no, yes };
 
-// What the time that a route needs is estimated by: its last requests, or one
-// time for all routes.
+// The source of the estimate: the route's last requests, or a fixed time for
+// all routes.
 struct by_recent_requests {
   bool operator==(const by_recent_requests&) const = default;
 };
@@ -39,27 +38,25 @@
   explicit duration_book(stop_estimate estimate = by_recent_requests{})
       : estimate_(estimate) {}
 
-  // Expected of a route with too few samples. Of 52,000 requests on a busy
-  // day one took longer than 2.0 s.
+  // The estimate for a route with too few samples.
   static constexpr std::chrono::milliseconds unknown{2200};
 
   void add(std::string_view route, std::chrono::milliseconds taken);
 
-  // The longest of the last requests of a route.
+  // The longest duration of a route's last requests.
   std::chrono::milliseconds longest(std::string_view route) const;
 
-  // How much time has to be left for a request of the route to be begun.
+  // The time that must be left to start a request of the route.
   std::chrono::milliseconds needed(std::string_view route,
                                    stops_midway kind) const;
 
  private:
-  // The longest of 64 is about the 98th percentile.
-  static constexpr std::size_t kept = 64;
-  static constexpr std::size_t enough = 16;
+  static constexpr std::size_t max_samples = 64;
+  static constexpr std::size_t min_samples = 16;
 
   struct samples {
-    std::array<std::chrono::milliseconds, kept> last{};
-    std::size_t seen = 0;
+    std::array<std::chrono::milliseconds, max_samples> last{};
+    std::size_t count = 0;
   };
 
   std::chrono::milliseconds needed_by(const by_recent_requests&,
--- a/src/decide/duration_book.cc
+++ b/src/decide/duration_book.cc
@@ -6,31 +6,31 @@
 
 namespace {
 
-// A stream gets this much more time than the longest of late, and this much at
-// the least: of 20,000 streams on busy days the longest took 2.1 s, and one of
-// 1.4 s was broken off when only the last 64 were heeded.
+// A stream needs this multiple of the longest recent duration, and at least the
+// minimum, since an interrupted stream is lost.
 constexpr double stream_margin = 1.8;
-constexpr std::chrono::milliseconds least_for_stream{2600};
+constexpr std::chrono::milliseconds min_for_stream{2600};
 
 }  // namespace
 
 void duration_book::add(std::string_view route,
                         std::chrono::milliseconds taken) {
-  auto held = routes_.find(route);
-  if (held == routes_.end()) {
-    held = routes_.emplace(route, samples{}).first;
+  auto entry = routes_.find(route);
+  if (entry == routes_.end()) {
+    entry = routes_.emplace(route, samples{}).first;
   }
-  samples& of_route = held->second;
-  of_route.last[of_route.seen % kept] = taken;
-  ++of_route.seen;
+  samples& recorded = entry->second;
+  recorded.last[recorded.count % max_samples] = taken;
+  ++recorded.count;
 }
 
 std::chrono::milliseconds duration_book::longest(std::string_view route) const {
-  const auto held = routes_.find(route);
-  if (held == routes_.end() || held->second.seen < enough) {
+  const auto entry = routes_.find(route);
+  if (entry == routes_.end() || entry->second.count < min_samples) {
     return unknown;
   }
-  return *std::max_element(held->second.last.begin(), held->second.last.end());
+  return *std::max_element(entry->second.last.begin(),
+                           entry->second.last.end());
 }
 
 std::chrono::milliseconds duration_book::needed(std::string_view route,
@@ -42,13 +42,13 @@
 std::chrono::milliseconds duration_book::needed_by(const by_recent_requests&,
                                                    std::string_view route,
                                                    stops_midway kind) const {
-  const std::chrono::milliseconds seen = longest(route);
+  const std::chrono::milliseconds estimate = longest(route);
   if (kind == stops_midway::no) {
-    return seen;
+    return estimate;
   }
-  const std::chrono::milliseconds wide(
-      static_cast<long>(static_cast<double>(seen.count()) * stream_margin));
-  return std::max(wide, least_for_stream);
+  const std::chrono::milliseconds with_margin(
+      static_cast<long>(static_cast<double>(estimate.count()) * stream_margin));
+  return std::max(with_margin, min_for_stream);
 }
 
 }  // namespace trayrock
--- a/test/duration_book_test.cc
+++ b/test/duration_book_test.cc
@@ -1,4 +1,4 @@
-// How long a route's requests take.
+// Tests the estimates of how long a route's requests take.
 #include "trayrock/internal/decide/duration_book.h"
 
 #include "test_support.h"
@@ -10,21 +10,21 @@
 
 class duration_book_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(duration_book_test);
-  CPPUNIT_TEST(route_with_few_samples_is_unknown);
-  CPPUNIT_TEST(longest_of_the_last_counts);
-  CPPUNIT_TEST(old_samples_are_forgotten);
-  CPPUNIT_TEST(stream_needs_more_than_the_longest_of_late);
+  CPPUNIT_TEST(route_with_few_samples_has_the_default);
+  CPPUNIT_TEST(longest_recent_sample_counts);
+  CPPUNIT_TEST(old_samples_are_dropped);
+  CPPUNIT_TEST(stream_needs_more_than_the_longest_recent_one);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void route_with_few_samples_is_unknown() {
+  void route_with_few_samples_has_the_default() {
     duration_book durations;
     add(durations, 15, 10);
     CPPUNIT_ASSERT(durations.longest("chat") == duration_book::unknown);
     CPPUNIT_ASSERT(durations.longest("other") == duration_book::unknown);
   }
 
-  void longest_of_the_last_counts() {
+  void longest_recent_sample_counts() {
     duration_book durations;
     add(durations, 20, 10);
     add(durations, 1, 900);
@@ -32,16 +32,16 @@
     CPPUNIT_ASSERT(durations.longest("chat") == milliseconds(900));
   }
 
-  void old_samples_are_forgotten() {
+  void old_samples_are_dropped() {
     duration_book durations;
     add(durations, 1, 900);
     add(durations, 64, 10);
     CPPUNIT_ASSERT(durations.longest("chat") == milliseconds(10));
   }
 
-  // A stream of 1.4 s, longer than the 64
-  // before it, was broken off by the end of its gateway.
-  void stream_needs_more_than_the_longest_of_late() {
+  // Guards against a stopping gateway that interrupts a stream which is longer
+  // than the recent ones.
+  void stream_needs_more_than_the_longest_recent_one() {
     duration_book durations;
     add(durations, 20, 100);
     CPPUNIT_ASSERT(durations.needed("chat", stops_midway::no) ==
