--- a/include/trayrock/internal/decide/late_rule.h
+++ b/include/trayrock/internal/decide/late_rule.h
@@ -1,18 +1,17 @@
-// When an endpoint that gives nothing is left for another one.
+// Decides when a request is sent again to another endpoint because the first
+// one is slow to respond. One object per service; no clock, the caller
+// measures.
 //
-// Answers the load in which one endpoint hangs or is far slower than the
-// others, and keeps out of the load in which all of them are slow: then work
-// that is begun anew elsewhere only adds to the queue. So an endpoint is late
-// by comparison with what answers of its service take, and no more than a share
-// of the requests may be begun anew.
-//
-// No clock: the caller measures. One object for each service.
+// Handles a single endpoint that hangs or is much slower than the others. If
+// all endpoints are slow, sending requests again would only add load. So the
+// timeout follows the service's recent response times, and only a share of the
+// requests may be sent again.
 //
 // Example:
-//   late_rule rule;
-//   rule.answer_began(milliseconds(31));
-//   rule.late_after(objective);  // the objective, as long as answers are quick
-//   if (rule.leave()) send_to_another();
+//   late_rule detector;
+//   detector.record_first_byte(milliseconds(31));
+//   const auto timeout = detector.first_byte_timeout(objective);
+//   if (waited > timeout && detector.acquire_resend()) send_to_another();
 #pragma once
 
 #include <chrono>
@@ -23,19 +22,19 @@
 
 namespace trayrock {
 
-// What a late endpoint is compared with: the answers of its service, or the
-// objective of its route alone.
+// What the timeout depends on: the service's response times and the route's
+// objective, or the objective only.
 struct compared_with_service {
   bool operator==(const compared_with_service&) const = default;
 };
 struct objective_alone {
   bool operator==(const objective_alone&) const = default;
 };
-using late_limit = std::variant<compared_with_service, objective_alone>;
+using slow_criterion = std::variant<compared_with_service, objective_alone>;
 
 struct late_policy {
-  late_limit limit = compared_with_service{};
-  bool leaves = true;  // for another endpoint; false: only warns of it
+  slow_criterion limit = compared_with_service{};
+  bool leaves = true;  // false: only reports slow endpoints
 
   bool operator==(const late_policy&) const = default;
 };
@@ -46,25 +45,29 @@
 
   explicit late_rule(late_policy policy = {});
 
-  // An endpoint began its answer after this time; or it was left then.
+  // Records the time to the first byte of a response, or the time after which
+  // the request was moved to another endpoint.
   void answer_began(milliseconds after);
 
-  // How long an endpoint may give nothing; `least` at the least.
-  milliseconds late_after(milliseconds least) const;
+  // The time to wait for the first byte; at least `min_timeout`.
+  milliseconds late_after(milliseconds min_timeout) const;
 
-  // Whether one more late endpoint may be left. False: wait on.
+  // Takes one resend from the budget. False: keep waiting for the slow
+  // endpoint.
   bool leave() { return policy_.leaves && budget_.spend(); }
 
  private:
-  milliseconds limit_of(const compared_with_service&, milliseconds least) const;
-  static milliseconds limit_of(const objective_alone&, milliseconds least) {
-    return least;
+  milliseconds timeout_by(const compared_with_service&,
+                          milliseconds min_timeout) const;
+  static milliseconds timeout_by(const objective_alone&,
+                                 milliseconds min_timeout) {
+    return min_timeout;
   }
 
   late_policy policy_;
   double mean_ms_ = 0;
   double deviation_ms_ = 0;  // mean distance from the mean
-  std::uint64_t seen_ = 0;
+  std::uint64_t response_count_ = 0;
   retry_budget budget_;
 };
 
--- a/src/decide/late_rule.cc
+++ b/src/decide/late_rule.cc
@@ -6,51 +6,49 @@
 namespace trayrock {
 namespace {
 
-// What one answer counts for in the mean: some twenty answers are in view,
-// which a gateway sees of a busy service in half a second.
+// Weight of a new sample in the exponential moving averages.
 constexpr double weight = 0.05;
-// So many deviations above the mean an answer is an outlier. Times to the first
-// byte are taken to spread as an exponential does, of which one in 1,000 lies
-// there (reckoned; its mean deviation is 0.74 of the mean).
+// A response is an outlier this many mean deviations above the mean: about one
+// in 1,000 if response times are distributed exponentially.
 constexpr double outlier_deviations = 8;
-// Before so many answers there is nothing to compare with; then the least time
-// counts several times.
-constexpr std::uint64_t enough = 20;
-constexpr int unknown_factor = 3;
-// Of a hundred requests so many may be begun anew for being late. One endpoint
-// of ten that hangs gets ten of a hundred until it is left alone.
-constexpr std::uint64_t leave_percent = 10;
+// With fewer responses, the timeout is a multiple of the minimum.
+constexpr std::uint64_t min_responses = 20;
+constexpr int initial_factor = 3;
+// Share of the requests that may be sent again because of slow endpoints: what
+// one hanging endpoint of ten gets until it is in backoff.
+constexpr std::uint64_t resend_percent = 10;
 
 }  // namespace
 
 late_rule::late_rule(late_policy policy)
-    : policy_(policy), budget_(leave_percent) {}
+    : policy_(policy), budget_(resend_percent) {}
 
 void late_rule::answer_began(milliseconds after) {
   budget_.note_call();
   const auto ms = static_cast<double>(after.count());
   const double distance = std::abs(ms - mean_ms_);
-  if (seen_ == 0) {
+  if (response_count_ == 0) {
     mean_ms_ = ms;
   } else {
     mean_ms_ += weight * (ms - mean_ms_);
     deviation_ms_ += weight * (distance - deviation_ms_);
   }
-  ++seen_;
+  ++response_count_;
 }
 
-std::chrono::milliseconds late_rule::late_after(milliseconds least) const {
-  return std::visit([&](const auto& by) { return limit_of(by, least); },
+std::chrono::milliseconds late_rule::late_after(
+    milliseconds min_timeout) const {
+  return std::visit([&](const auto& by) { return timeout_by(by, min_timeout); },
                     policy_.limit);
 }
 
-std::chrono::milliseconds late_rule::limit_of(const compared_with_service&,
-                                              milliseconds least) const {
-  if (seen_ < enough) {
-    return least * unknown_factor;
+std::chrono::milliseconds late_rule::timeout_by(
+    const compared_with_service&, milliseconds min_timeout) const {
+  if (response_count_ < min_responses) {
+    return min_timeout * initial_factor;
   }
   const double outlier_ms = mean_ms_ + outlier_deviations * deviation_ms_;
-  return std::max(least, milliseconds(static_cast<long>(outlier_ms)));
+  return std::max(min_timeout, milliseconds(static_cast<long>(outlier_ms)));
 }
 
 }  // namespace trayrock
--- a/test/late_rule_test.cc
+++ b/test/late_rule_test.cc
@@ -1,4 +1,5 @@
-// When an endpoint that gives nothing is left, under two kinds of load.
+// Tests when requests are moved away from slow endpoints: a single endpoint
+// that hangs, and a service that is slow as a whole.
 #include "trayrock/internal/decide/late_rule.h"
 
 #include <random>
@@ -13,10 +14,10 @@
 constexpr milliseconds objective{250};
 constexpr int requests = 2000;
 
-// Answers that begin after `mean_ms` on average.
-class answers {
+// Random times to the first byte with a mean of `mean_ms`.
+class response_times {
  public:
-  explicit answers(double mean_ms) : wait_(1 / mean_ms) {}
+  explicit response_times(double mean_ms) : wait_(1 / mean_ms) {}
   milliseconds next() {
     return milliseconds(static_cast<long>(wait_(random_)));
   }
@@ -26,28 +27,26 @@
   std::exponential_distribution<double> wait_;
 };
 
-// What callers of one service get: how many are begun anew elsewhere, and how
-// long all of them wait for their first byte.
 struct outcome {
-  int left = 0;
+  int resent = 0;
   double mean_wait_ms = 0;
 };
 
-// One in `hang_every` requests meets an endpoint that never answers, and is
-// given up by its client after two seconds if it is not begun anew.
-outcome play(answers load, int hang_every) {
-  constexpr milliseconds client_patience{2000};
-  late_rule rule;
+// One in `hang_every` requests goes to an endpoint that never responds; the
+// client gives up after its timeout if the request is not sent again.
+outcome simulate(response_times load, int hang_every) {
+  constexpr milliseconds client_timeout{2000};
+  late_rule detector;
   outcome made;
   for (int i = 1; i <= requests; ++i) {
     const bool hangs = hang_every > 0 && i % hang_every == 0;
-    milliseconds wait = hangs ? client_patience : load.next();
-    const milliseconds limit = rule.late_after(objective);
-    const bool late = wait > limit;
-    rule.answer_began(std::min(wait, limit));
-    if (late && rule.leave()) {
-      ++made.left;
-      wait = limit + load.next();
+    milliseconds wait = hangs ? client_timeout : load.next();
+    const milliseconds timeout = detector.late_after(objective);
+    const bool slow = wait > timeout;
+    detector.answer_began(std::min(wait, timeout));
+    if (slow && detector.leave()) {
+      ++made.resent;
+      wait = timeout + load.next();
     }
     made.mean_wait_ms += static_cast<double>(wait.count()) / requests;
   }
@@ -56,43 +55,43 @@
 
 class late_rule_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(late_rule_test);
-  CPPUNIT_TEST(quick_service_keeps_the_objective);
-  CPPUNIT_TEST(hanging_endpoint_is_left_in_time);
-  CPPUNIT_TEST(slow_service_is_not_begun_anew);
-  CPPUNIT_TEST(no_more_than_a_share_is_begun_anew);
-  CPPUNIT_TEST(nothing_is_known_at_the_start);
+  CPPUNIT_TEST(fast_service_has_the_objective_as_timeout);
+  CPPUNIT_TEST(requests_to_a_hanging_endpoint_are_sent_again);
+  CPPUNIT_TEST(slow_service_gets_few_resends);
+  CPPUNIT_TEST(resends_are_limited_to_a_share);
+  CPPUNIT_TEST(initial_timeout_is_a_multiple_of_the_objective);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void quick_service_keeps_the_objective() {
-    late_rule rule;
+  void fast_service_has_the_objective_as_timeout() {
+    late_rule detector;
     for (int i = 0; i < 100; ++i) {
-      rule.answer_began(milliseconds(20 + i % 10));
+      detector.answer_began(milliseconds(20 + i % 10));
     }
-    CPPUNIT_ASSERT(rule.late_after(objective) == objective);
+    CPPUNIT_ASSERT(detector.late_after(objective) == objective);
   }
 
-  // Callers wait 133 ms on average without the rule (one in 20 for two
-  // seconds) and 54 ms with it.
-  void hanging_endpoint_is_left_in_time() {
-    const outcome seen = play(answers(35), 20);
-    TRAYROCK_CHECK(seen.mean_wait_ms < 75 && seen.left > 90,
-                   "waited " << seen.mean_wait_ms << " ms, left " << seen.left);
+  void requests_to_a_hanging_endpoint_are_sent_again() {
+    const outcome result = simulate(response_times(35), 20);
+    TRAYROCK_CHECK(
+        result.mean_wait_ms < 75 && result.resent > 90,
+        "waited " << result.mean_wait_ms << " ms, resent " << result.resent);
   }
 
-  // A fixed limit at the objective begins 550 of 2,000 requests anew here,
-  // which adds a quarter to a load that is too high already; the rule 4.
-  void slow_service_is_not_begun_anew() {
-    const outcome seen = play(answers(200), 0);
-    TRAYROCK_CHECK(seen.left < requests / 50, "left " << seen.left);
+  // Guards against resends that add load to a service which is overloaded
+  // already, as with a timeout fixed at the objective.
+  void slow_service_gets_few_resends() {
+    const outcome result = simulate(response_times(200), 0);
+    TRAYROCK_CHECK(result.resent < requests / 50, "resent " << result.resent);
   }
 
-  void no_more_than_a_share_is_begun_anew() {
-    const outcome seen = play(answers(35), 2);
-    TRAYROCK_CHECK(seen.left <= requests / 10 + 5, "left " << seen.left);
+  void resends_are_limited_to_a_share() {
+    const outcome result = simulate(response_times(35), 2);
+    TRAYROCK_CHECK(result.resent <= requests / 10 + 5,
+                   "resent " << result.resent);
   }
 
-  void nothing_is_known_at_the_start() {
+  void initial_timeout_is_a_multiple_of_the_objective() {
     CPPUNIT_ASSERT(late_rule().late_after(objective) == 3 * objective);
   }
 };
