--- a/include/trayrock/internal/decide/contact_rule.h
+++ b/include/trayrock/internal/decide/contact_rule.h
@@ -1,23 +1,21 @@
-// Whether this process is cut off from all others of the system.
+// Detects that this process is isolated: neither record stores nor peers reply.
+// No I/O; the caller passes the time.
 //
-// A gateway that is cut off from the record stores goes on by way of its peers.
-// One that reaches neither can serve nothing that needs a record, but goes on
-// getting connections: its balancer asks it alone whether it is ready. Clients
-// then waited for each refusal and came back to the same gateway, and their
-// programs died. So it says that it is not ready, and refuses at once.
+// An isolated gateway can serve nothing that requires a record, but its
+// balancer continues to send connections while the gateway reports that it is
+// ready. So it reports that it is not ready and rejects requests at once, and
+// clients reach another gateway.
 //
-// A store or peer that answers anything, be it a refusal, ends it: stores that
-// are all down for everybody are no reason to send clients elsewhere. With no
-// peers nothing can be told.
-//
-// No I/O; the caller gives the time.
+// Any reply of a store or peer, even a refusal, ends the isolation: if all
+// stores are down, other gateways can't serve the clients either. Without
+// peers, an isolated process and an outage of all stores look the same.
 //
 // Example:
-//   contact_rule contact;
-//   contact.asked(now);  // a call to a store or peer was sent
-//   contact.heard();     // one of them answered
-//   contact.tick(now);   // about every tick_period_ms
-//   if (contact.cut_off()) refuse_at_once();
+//   contact_rule detector;
+//   detector.on_request_sent(now);  // to a store or peer
+//   detector.on_reply();            // of any of them
+//   detector.tick(now);             // about every tick_period_ms
+//   if (detector.is_isolated()) reject_requests();
 #pragma once
 
 #include <cstdint>
@@ -32,14 +30,14 @@
   void heard();
   void tick(std::uint64_t now_ms);
 
-  bool cut_off() const { return cut_off_since_ms_ != 0; }
-  // Since when nothing was heard; 0: not cut off.
-  std::uint64_t cut_off_since_ms() const { return cut_off_since_ms_; }
+  bool cut_off() const { return isolated_since_ms_ != 0; }
+  // When the first request without a reply was sent; 0: not isolated.
+  std::uint64_t cut_off_since_ms() const { return isolated_since_ms_; }
 
  private:
-  std::uint64_t unanswered_since_ms_ = 0;  // 0: all is answered
-  std::uint64_t ticked_at_ms_ = 0;
-  std::uint64_t cut_off_since_ms_ = 0;
+  std::uint64_t unanswered_since_ms_ = 0;  // 0: no reply is pending
+  std::uint64_t last_tick_ms_ = 0;
+  std::uint64_t isolated_since_ms_ = 0;
 };
 
 }  // namespace trayrock
--- a/src/decide/contact_rule.cc
+++ b/src/decide/contact_rule.cc
@@ -5,13 +5,12 @@
 namespace trayrock {
 namespace {
 
-// A store that is silent for 350 ms is asked by a peer, which has 350 ms to say
-// at least that it does not reach it. Answers take 2 to 15 ms, of a busy disk
-// some tens.
-constexpr std::uint64_t longest_silence_ms = 800;
-// A tick that is this late says that this process stood still, and what others
-// sent meanwhile is not read yet.
-constexpr std::uint64_t late_tick_ms = 4 * contact_rule::tick_period_ms;
+// Longer than the timeout of a call to a store and of the same call by way of a
+// peer together.
+constexpr std::uint64_t max_silence_ms = 800;
+// A longer interval between ticks means that this process was stalled: replies
+// that arrived meanwhile are not read yet.
+constexpr std::uint64_t stall_threshold_ms = 4 * contact_rule::tick_period_ms;
 
 }  // namespace
 
@@ -23,20 +22,20 @@
 
 void contact_rule::heard() {
   unanswered_since_ms_ = 0;
-  cut_off_since_ms_ = 0;
+  isolated_since_ms_ = 0;
 }
 
 void contact_rule::tick(std::uint64_t now_ms) {
-  const bool stood_still =
-      ticked_at_ms_ != 0 && now_ms - ticked_at_ms_ >= late_tick_ms;
-  ticked_at_ms_ = now_ms;
+  const bool stalled =
+      last_tick_ms_ != 0 && now_ms - last_tick_ms_ >= stall_threshold_ms;
+  last_tick_ms_ = now_ms;
   if (unanswered_since_ms_ == 0 || cut_off()) {
     return;
   }
-  if (stood_still) {
+  if (stalled) {
     unanswered_since_ms_ = now_ms;
-  } else if (now_ms - unanswered_since_ms_ >= longest_silence_ms) {
-    cut_off_since_ms_ = unanswered_since_ms_;
+  } else if (now_ms - unanswered_since_ms_ >= max_silence_ms) {
+    isolated_since_ms_ = unanswered_since_ms_;
   }
 }
 
--- a/test/contact_rule_test.cc
+++ b/test/contact_rule_test.cc
@@ -1,8 +1,5 @@
-// When a gateway knows that it is cut off, in virtual time.
-//
-// Clients of a gateway that was cut off from all other boxes for 7 s got
-// refusals after 1.1 s each, again and again, and programs died of them. It
-// could reserve no turn, and said that it was ready.
+// Tests the detection of isolation in virtual time. Guards against an isolated
+// gateway that reports that it is ready and so keeps getting requests.
 #include "trayrock/internal/decide/contact_rule.h"
 
 #include "test_support.h"
@@ -14,133 +11,133 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint64_t step_ms = 10;
-constexpr std::uint64_t answer_ms = 10;
-// A turn comes each 100 ms and asks the stores, and peers once they are silent.
+constexpr std::uint64_t reply_delay_ms = 10;
+// Each turn sends a request to the stores, and to peers if these don't reply.
 constexpr std::uint64_t turn_period_ms = 100;
 
-// Who answers a gateway from a time on.
-struct surroundings {
+struct partition {
   std::uint64_t cut_at_ms = 0;
   std::uint64_t healed_at_ms = 0;
-  bool peers_answer = false;  // during the cut; stores do not
+  bool peers_reply = false;  // while the stores don't
 };
 
-class contact_model {
+class isolation_simulation {
  public:
-  explicit contact_model(surroundings around) : around_(around) {}
+  explicit isolation_simulation(partition simulated) : partition_(simulated) {}
 
   void run(std::uint64_t until_ms) {
     for (; now_ < until_ms; now_ += step_ms) {
       if (now_ % turn_period_ms == 0) {
-        contact_.asked(now_);
-        asked_at_ = now_;
+        detector_.asked(now_);
+        sent_at_ = now_;
       }
-      const bool answered = asked_at_ + answer_ms == now_;
-      const bool cut = now_ >= around_.cut_at_ms && now_ < around_.healed_at_ms;
-      if (answered && (!cut || around_.peers_answer)) {
-        contact_.heard();
+      const bool replied = sent_at_ + reply_delay_ms == now_;
+      const bool is_cut =
+          now_ >= partition_.cut_at_ms && now_ < partition_.healed_at_ms;
+      if (replied && (!is_cut || partition_.peers_reply)) {
+        detector_.heard();
       }
       if (now_ % contact_rule::tick_period_ms == 0) {
-        contact_.tick(now_);
+        detector_.tick(now_);
       }
-      note();
+      record_change();
     }
   }
 
   int changes() const { return changes_; }
-  std::uint64_t first_cut_off_ms() const { return first_cut_off_; }
-  std::uint64_t last_cut_off_ms() const { return last_cut_off_; }
+  std::uint64_t first_isolated_ms() const { return first_isolated_; }
+  std::uint64_t last_isolated_ms() const { return last_isolated_; }
 
  private:
-  void note() {
-    const bool cut_off = contact_.cut_off();
-    changes_ += cut_off != was_cut_off_ ? 1 : 0;
-    if (cut_off && first_cut_off_ == 0) {
-      first_cut_off_ = now_;
+  void record_change() {
+    const bool isolated = detector_.cut_off();
+    changes_ += isolated != was_isolated_ ? 1 : 0;
+    if (isolated && first_isolated_ == 0) {
+      first_isolated_ = now_;
     }
-    if (cut_off) {
-      last_cut_off_ = now_;
+    if (isolated) {
+      last_isolated_ = now_;
     }
-    was_cut_off_ = cut_off;
+    was_isolated_ = isolated;
   }
 
-  surroundings around_;
-  contact_rule contact_;
+  partition partition_;
+  contact_rule detector_;
   std::uint64_t now_ = step_ms;
-  std::uint64_t asked_at_ = 0;
-  bool was_cut_off_ = false;
+  std::uint64_t sent_at_ = 0;
+  bool was_isolated_ = false;
   int changes_ = 0;
-  std::uint64_t first_cut_off_ = 0;
-  std::uint64_t last_cut_off_ = 0;
+  std::uint64_t first_isolated_ = 0;
+  std::uint64_t last_isolated_ = 0;
 };
 
 class contact_rule_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(contact_rule_test);
-  CPPUNIT_TEST(cut_from_all_is_known_within_a_second);
-  CPPUNIT_TEST(peers_that_answer_keep_a_gateway_in_contact);
-  CPPUNIT_TEST(short_cuts_change_nothing);
-  CPPUNIT_TEST(quiet_is_no_cut);
-  CPPUNIT_TEST(process_that_stood_still_is_not_cut_off);
-  CPPUNIT_TEST(first_answer_ends_it);
-  CPPUNIT_TEST(clients_are_sent_away_for_as_long_as_the_balancer_needs);
+  CPPUNIT_TEST(isolation_is_detected_within_a_second);
+  CPPUNIT_TEST(gateway_with_replying_peers_is_not_isolated);
+  CPPUNIT_TEST(short_partition_is_ignored);
+  CPPUNIT_TEST(idle_process_is_not_isolated);
+  CPPUNIT_TEST(stalled_process_is_not_isolated);
+  CPPUNIT_TEST(first_reply_ends_the_isolation);
+  CPPUNIT_TEST(clients_retry_once_the_balancer_has_noticed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void cut_from_all_is_known_within_a_second() {
-    contact_model model({5000, 12000, false});
+  void isolation_is_detected_within_a_second() {
+    isolation_simulation model({5000, 12000, false});
     model.run(20000);
     TRAYROCK_CHECK(
-        model.first_cut_off_ms() > 5000 && model.first_cut_off_ms() <= 6000,
-        "known at " << model.first_cut_off_ms() << " ms");
-    TRAYROCK_CHECK(model.last_cut_off_ms() <= 12200,
-                   "over at " << model.last_cut_off_ms() << " ms");
+        model.first_isolated_ms() > 5000 && model.first_isolated_ms() <= 6000,
+        "detected at " << model.first_isolated_ms() << " ms");
+    TRAYROCK_CHECK(model.last_isolated_ms() <= 12200,
+                   "ended at " << model.last_isolated_ms() << " ms");
     CPPUNIT_ASSERT_EQUAL(2, model.changes());
   }
 
-  void peers_that_answer_keep_a_gateway_in_contact() {
-    contact_model model({5000, 12000, true});
+  void gateway_with_replying_peers_is_not_isolated() {
+    isolation_simulation model({5000, 12000, true});
     model.run(20000);
     CPPUNIT_ASSERT_EQUAL(0, model.changes());
   }
 
-  void short_cuts_change_nothing() {
-    contact_model model({5000, 5600, false});
+  void short_partition_is_ignored() {
+    isolation_simulation model({5000, 5600, false});
     model.run(20000);
     CPPUNIT_ASSERT_EQUAL(0, model.changes());
   }
 
-  void quiet_is_no_cut() {
-    contact_rule contact;
+  void idle_process_is_not_isolated() {
+    contact_rule detector;
     for (std::uint64_t now = 100; now < 60000; now += 100) {
-      contact.tick(now);
+      detector.tick(now);
     }
-    CPPUNIT_ASSERT(!contact.cut_off());
+    CPPUNIT_ASSERT(!detector.cut_off());
   }
 
-  void process_that_stood_still_is_not_cut_off() {
-    contact_rule contact;
-    contact.tick(1000);
-    contact.asked(1010);
-    contact.tick(7000);
-    CPPUNIT_ASSERT(!contact.cut_off());
-    contact.tick(7100);
-    CPPUNIT_ASSERT(!contact.cut_off());
+  void stalled_process_is_not_isolated() {
+    contact_rule detector;
+    detector.tick(1000);
+    detector.asked(1010);
+    detector.tick(7000);
+    CPPUNIT_ASSERT(!detector.cut_off());
+    detector.tick(7100);
+    CPPUNIT_ASSERT(!detector.cut_off());
   }
 
-  void first_answer_ends_it() {
-    contact_rule contact;
-    contact.asked(1000);
+  void first_reply_ends_the_isolation() {
+    contact_rule detector;
+    detector.asked(1000);
     for (std::uint64_t now = 1000; now <= 2000; now += 100) {
-      contact.tick(now);
+      detector.tick(now);
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, contact.cut_off_since_ms());
-    contact.heard();
-    CPPUNIT_ASSERT(!contact.cut_off());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, detector.cut_off_since_ms());
+    detector.heard();
+    CPPUNIT_ASSERT(!detector.cut_off());
   }
 
-  // Two of its questions, a second apart, after the gateway has begun to say
-  // that it is not ready; then another gateway gets the next connection.
-  void clients_are_sent_away_for_as_long_as_the_balancer_needs() {
+  // The balancer needs two health checks, a second apart, to notice that the
+  // gateway is not ready.
+  void clients_retry_once_the_balancer_has_noticed() {
     CPPUNIT_ASSERT(return_time_when_cut_off(milliseconds(0)) ==
                    milliseconds(3000));
     CPPUNIT_ASSERT(return_time_when_cut_off(milliseconds(2200)) ==
