--- a/include/trayrock/internal/decide/relay_choice.h
+++ b/include/trayrock/internal/decide/relay_choice.h
@@ -1,18 +1,17 @@
-// Which other gateway passes calls on to a record store that this one cannot
-// reach.
+// Selects the gateway that relays calls to a record store which this one can't
+// reach. No I/O; the caller passes the time.
 //
-// No I/O; the caller gives the time. A gateway that has passed a call on lately
-// goes first, then those of the same data centre. Each gateway tries its peers
-// in an order of its own, so that several that are cut off together do not all
-// load the same peer. A peer that is silent, or that cannot reach the stores
-// either, is left alone for a while, longer each time; if all are, the one
-// whose time is over first is tried all the same.
+// Peers that relayed a call recently come first, then those of the same data
+// centre. Each gateway orders its peers by its own hash, so that several
+// partitioned gateways don't all load the same peer. A peer that does not
+// reply, or that can't reach the stores either, gets an exponential backoff; if
+// all peers are in backoff, the one whose backoff ends first is used.
 //
 // Example:
 //   relay_choice relays("gateway-1", "north");
 //   relays.replace({{"gateway-2", "127.0.0.1:7000", "north"}});
 //   const std::string via = relays.pick(now);
-//   relays.failed(via, relay_failure::silent, now);
+//   relays.record_failure(via, relay_failure::silent, now);
 #pragma once
 
 #include <cstddef>
@@ -30,30 +29,30 @@
 };
 
 enum class relay_failure {
-  silent,            // the peer did not answer
-  store_unreachable  // the peer got no answer of the store
+  silent,            // the peer did not reply
+  store_unreachable  // the peer got no reply from the store
 };
 
 class relay_choice {
  public:
   relay_choice(std::string own_name, std::string own_data_centre);
 
-  // Takes a new list; what is known of the peers that stay on it is kept.
+  // Replaces the list of peers; the state of those that remain is kept.
   void replace(const std::vector<relay_peer>& peers);
 
-  // Adds a peer, or takes its new address.
+  // Adds a peer, or updates its address.
   void add(const relay_peer& peer);
 
   // All peers, in this gateway's own order.
   std::vector<relay_peer> peers() const;
 
-  // The address of a peer; empty if none is known.
+  // The address of the peer to use; empty if there are no peers.
   std::string pick(std::uint64_t now_ms) const;
 
-  // True when no peer is known that is not being left alone.
+  // True if each peer is in backoff, or there are none.
   bool exhausted(std::uint64_t now_ms) const;
 
-  // A peer has passed a call on and its answer back.
+  // The peer relayed a call and returned the reply.
   void passed_on(std::string_view address, std::uint64_t now_ms);
 
   void failed(std::string_view address, relay_failure how,
@@ -62,21 +61,21 @@
  private:
   struct state {
     relay_peer peer;
-    std::uint64_t order = 0;            // this gateway's own order of its peers
-    std::uint64_t passed_on_at_ms = 0;  // 0: never
-    std::uint64_t avoided_until_ms = 0;
-    std::uint32_t failures_in_row = 0;
+    std::uint64_t order = 0;            // hash of this gateway and the peer
+    std::uint64_t last_success_ms = 0;  // 0: never
+    std::uint64_t backoff_until_ms = 0;
+    std::uint32_t consecutive_failures = 0;
   };
 
-  bool better(const state& left, const state& right,
-              std::uint64_t now_ms) const;
+  bool is_preferred(const state& left, const state& right,
+                    std::uint64_t now_ms) const;
   state state_of(const relay_peer& peer);
   void sort();
   state* find(std::string_view address);
 
   std::string own_name_;
   std::string own_data_centre_;
-  std::vector<state> peers_;  // in this gateway's own order
+  std::vector<state> peers_;  // sorted by `order`
 };
 
 }  // namespace trayrock
--- a/src/decide/relay_choice.cc
+++ b/src/decide/relay_choice.cc
@@ -7,17 +7,16 @@
 namespace trayrock {
 namespace {
 
-// A peer that failed is left alone this long, doubled with each failure in a
-// row. A cut lasts seconds; a call by a peer that fails costs 0.35 s.
-constexpr std::uint64_t first_avoid_ms = 1500;
-constexpr std::uint64_t longest_avoid_ms = 6000;
-constexpr std::uint32_t most_doublings = 2;
-// A peer that has passed a call on within this time is known to work: a call
-// that it cannot pass on now says that the store is down.
+// Doubled with each consecutive failure.
+constexpr std::uint64_t initial_backoff_ms = 1500;
+constexpr std::uint64_t max_backoff_ms = 6000;
+constexpr std::uint32_t max_doublings = 2;
+// A peer that relayed a call within this time is proven to work: if it can't
+// reach a store now, the store is down.
 constexpr std::uint64_t proven_ms = 1000;
 
-bool proven(std::uint64_t passed_on_at_ms, std::uint64_t now_ms) {
-  return passed_on_at_ms != 0 && passed_on_at_ms + proven_ms >= now_ms;
+bool is_proven(std::uint64_t last_success_ms, std::uint64_t now_ms) {
+  return last_success_ms != 0 && last_success_ms + proven_ms >= now_ms;
 }
 
 }  // namespace
@@ -38,7 +37,7 @@
   sort();
 }
 
-// What is known of the peer, and nothing of a new one.
+// The peer's current state, or a new one.
 relay_choice::state relay_choice::state_of(const relay_peer& peer) {
   const state* known = find(peer.address);
   state made = known == nullptr ? state{} : *known;
@@ -79,23 +78,23 @@
   return made;
 }
 
-bool relay_choice::better(const state& left, const state& right,
-                          std::uint64_t now_ms) const {
-  const bool left_avoided = left.avoided_until_ms > now_ms;
-  const bool right_avoided = right.avoided_until_ms > now_ms;
-  if (left_avoided != right_avoided) {
-    return right_avoided;
+bool relay_choice::is_preferred(const state& left, const state& right,
+                                std::uint64_t now_ms) const {
+  const bool left_in_backoff = left.backoff_until_ms > now_ms;
+  const bool right_in_backoff = right.backoff_until_ms > now_ms;
+  if (left_in_backoff != right_in_backoff) {
+    return right_in_backoff;
   }
-  if (left_avoided) {
-    return left.avoided_until_ms < right.avoided_until_ms;
+  if (left_in_backoff) {
+    return left.backoff_until_ms < right.backoff_until_ms;
   }
-  const bool left_proven = proven(left.passed_on_at_ms, now_ms);
-  if (left_proven != proven(right.passed_on_at_ms, now_ms)) {
-    return left_proven;
+  const bool left_is_proven = is_proven(left.last_success_ms, now_ms);
+  if (left_is_proven != is_proven(right.last_success_ms, now_ms)) {
+    return left_is_proven;
   }
-  const bool left_near = left.peer.data_centre == own_data_centre_;
-  if (left_near != (right.peer.data_centre == own_data_centre_)) {
-    return left_near;
+  const bool left_is_near = left.peer.data_centre == own_data_centre_;
+  if (left_is_near != (right.peer.data_centre == own_data_centre_)) {
+    return left_is_near;
   }
   return left.order < right.order;
 }
@@ -103,14 +102,14 @@
 std::string relay_choice::pick(std::uint64_t now_ms) const {
   const auto best = std::min_element(
       peers_.begin(), peers_.end(), [&](const state& left, const state& right) {
-        return better(left, right, now_ms);
+        return is_preferred(left, right, now_ms);
       });
   return best == peers_.end() ? std::string() : best->peer.address;
 }
 
 bool relay_choice::exhausted(std::uint64_t now_ms) const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const state& each) {
-    return each.avoided_until_ms > now_ms;
+    return each.backoff_until_ms > now_ms;
   });
 }
 
@@ -126,27 +125,27 @@
   if (peer == nullptr) {
     return;
   }
-  peer->passed_on_at_ms = now_ms;
-  peer->avoided_until_ms = 0;
-  peer->failures_in_row = 0;
+  peer->last_success_ms = now_ms;
+  peer->backoff_until_ms = 0;
+  peer->consecutive_failures = 0;
 }
 
 void relay_choice::failed(std::string_view address, relay_failure how,
                           std::uint64_t now_ms) {
   state* const peer = find(address);
-  if (peer == nullptr || peer->avoided_until_ms > now_ms) {
+  if (peer == nullptr || peer->backoff_until_ms > now_ms) {
     return;
   }
   const bool store_is_down = how == relay_failure::store_unreachable &&
-                             proven(peer->passed_on_at_ms, now_ms);
+                             is_proven(peer->last_success_ms, now_ms);
   if (store_is_down) {
     return;
   }
   const std::uint32_t doublings =
-      std::min(peer->failures_in_row, most_doublings);
-  ++peer->failures_in_row;
-  peer->avoided_until_ms =
-      now_ms + std::min(first_avoid_ms << doublings, longest_avoid_ms);
+      std::min(peer->consecutive_failures, max_doublings);
+  ++peer->consecutive_failures;
+  peer->backoff_until_ms =
+      now_ms + std::min(initial_backoff_ms << doublings, max_backoff_ms);
 }
 
 }  // namespace trayrock
--- a/test/relay_choice_test.cc
+++ b/test/relay_choice_test.cc
@@ -1,4 +1,4 @@
-// Which gateway passes calls on: order, failures, and the way back.
+// Tests which peer relays calls: order of preference, backoff and recovery.
 #include "trayrock/internal/decide/relay_choice.h"
 
 #include <set>
@@ -9,21 +9,21 @@
 namespace {
 
 constexpr std::uint64_t start_ms = 10000;
-constexpr std::uint64_t past_all_pauses_ms = 60000;
+constexpr std::uint64_t after_all_backoffs_ms = 60000;
 
 class relay_choice_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(relay_choice_test);
   CPPUNIT_TEST(no_peer_gives_an_empty_address);
-  CPPUNIT_TEST(own_entry_is_no_peer);
-  CPPUNIT_TEST(peer_of_the_same_data_centre_goes_first);
-  CPPUNIT_TEST(silent_peer_is_left_alone_for_a_while);
-  CPPUNIT_TEST(peer_that_reaches_no_store_is_left_alone);
-  CPPUNIT_TEST(peer_that_works_is_kept_when_one_store_is_down);
-  CPPUNIT_TEST(peer_that_worked_goes_before_a_nearer_one);
-  CPPUNIT_TEST(soonest_free_peer_is_tried_when_all_have_failed);
-  CPPUNIT_TEST(gateways_that_are_cut_off_together_spread_over_their_peers);
-  CPPUNIT_TEST(peer_that_makes_itself_known_is_added_once);
-  CPPUNIT_TEST(new_list_keeps_what_is_known_of_a_peer);
+  CPPUNIT_TEST(own_entry_is_not_a_peer);
+  CPPUNIT_TEST(peer_of_the_same_data_centre_comes_first);
+  CPPUNIT_TEST(silent_peer_is_in_backoff);
+  CPPUNIT_TEST(peer_that_reaches_no_store_is_in_backoff);
+  CPPUNIT_TEST(proven_peer_gets_no_backoff_when_a_store_is_down);
+  CPPUNIT_TEST(proven_peer_comes_before_a_nearer_one);
+  CPPUNIT_TEST(first_peer_out_of_backoff_is_used_when_all_failed);
+  CPPUNIT_TEST(partitioned_gateways_spread_over_their_peers);
+  CPPUNIT_TEST(peer_with_a_new_address_is_added_once);
+  CPPUNIT_TEST(new_list_keeps_the_state_of_its_peers);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -33,45 +33,45 @@
     CPPUNIT_ASSERT(relays.exhausted(start_ms));
   }
 
-  void own_entry_is_no_peer() {
+  void own_entry_is_not_a_peer() {
     relay_choice relays("gateway-1", "north");
     relays.replace({{"gateway-1", "own:1", "north"}});
     CPPUNIT_ASSERT_EQUAL(std::string(), relays.pick(start_ms));
   }
 
-  void peer_of_the_same_data_centre_goes_first() {
+  void peer_of_the_same_data_centre_comes_first() {
     const relay_choice relays = with_two_peers();
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"), relays.pick(start_ms));
   }
 
-  void silent_peer_is_left_alone_for_a_while() {
+  void silent_peer_is_in_backoff() {
     relay_choice relays = with_two_peers();
     relays.failed("near:1", relay_failure::silent, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("far:1"), relays.pick(start_ms));
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"),
-                         relays.pick(start_ms + past_all_pauses_ms));
+                         relays.pick(start_ms + after_all_backoffs_ms));
   }
 
-  void peer_that_reaches_no_store_is_left_alone() {
+  void peer_that_reaches_no_store_is_in_backoff() {
     relay_choice relays = with_two_peers();
     relays.failed("near:1", relay_failure::store_unreachable, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("far:1"), relays.pick(start_ms));
   }
 
-  void peer_that_works_is_kept_when_one_store_is_down() {
+  void proven_peer_gets_no_backoff_when_a_store_is_down() {
     relay_choice relays = with_two_peers();
     relays.passed_on("near:1", start_ms);
     relays.failed("near:1", relay_failure::store_unreachable, start_ms + 10);
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"), relays.pick(start_ms + 10));
   }
 
-  void peer_that_worked_goes_before_a_nearer_one() {
+  void proven_peer_comes_before_a_nearer_one() {
     relay_choice relays = with_two_peers();
     relays.passed_on("far:1", start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("far:1"), relays.pick(start_ms + 10));
   }
 
-  void soonest_free_peer_is_tried_when_all_have_failed() {
+  void first_peer_out_of_backoff_is_used_when_all_failed() {
     relay_choice relays = with_two_peers();
     relays.failed("near:1", relay_failure::silent, start_ms);
     relays.failed("far:1", relay_failure::silent, start_ms + 10);
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"), relays.pick(start_ms + 20));
   }
 
-  void gateways_that_are_cut_off_together_spread_over_their_peers() {
+  void partitioned_gateways_spread_over_their_peers() {
     std::vector<relay_peer> peers;
     for (int i = 0; i < 8; ++i) {
       const std::string name = "gateway-" + std::to_string(i);
@@ -96,14 +96,14 @@
                                            << " peers; expected 3 or more");
   }
 
-  void peer_that_makes_itself_known_is_added_once() {
+  void peer_with_a_new_address_is_added_once() {
     relay_choice relays = with_two_peers();
     relays.add({"gateway-4", "new:1", "south"});
     relays.add({"gateway-4", "new:2", "south"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, relays.peers().size());
   }
 
-  void new_list_keeps_what_is_known_of_a_peer() {
+  void new_list_keeps_the_state_of_its_peers() {
     relay_choice relays = with_two_peers();
     relays.failed("near:1", relay_failure::silent, start_ms);
     relays.replace({{"gateway-2", "near:1", "north"},
