--- a/include/trayrock/internal/decide/resend_rule.h
+++ b/include/trayrock/internal/decide/resend_rule.h
@@ -1,10 +1,11 @@
-// Whether a request goes on at another endpoint after one did not answer it
-// whole.
+// Decides whether a request is sent to another endpoint after one did not
+// complete its response.
 //
-// Guards "at most once": what may run only once never goes on. A repeatable
-// request is sent again until its client has got a first byte. A resumable
-// stream is sent again until its client has got an event, and behind that goes
-// on after the last one. The operator's number of endpoints bounds all of it.
+// Enforces "at most once": a request that may run only once is never sent
+// again. A repeatable request is sent again until its client has received a
+// first byte. A resumable stream is sent again until its client has received an
+// event, and resumes after the last event from then on. The operator limits the
+// number of endpoints per request.
 //
 // Example:
 //   resend_view view;
@@ -22,23 +23,24 @@
 
 struct resend_view {
   repetition kind = repetition::once;
-  bool resumable = false;   // the route's streams may go on elsewhere
-  std::uint32_t sends = 0;  // endpoints that it was sent to
+  bool resumable = false;   // streams of the route may resume elsewhere
+  std::uint32_t sends = 0;  // endpoints that the request was sent to
   std::uint32_t most_sends = 1;
-  bool answer_begun = false;    // the client has got a part of the answer
+  bool answer_begun = false;    // the client has a part of the response
   bool has_last_event = false;  // which ends with an event that has an id
 };
 
 enum class resend {
   never,
-  again,  // from its start
-  resume  // behind the last event that the client has got
+  again,  // from the start
+  resume  // after the last event that the client has received
 };
 
-// After an endpoint may have begun the request and did not end it.
+// For a request that an endpoint may have started but did not complete.
 resend resend_after_failure(const resend_view& view);
 
-// True when an endpoint that is late may be left for another one.
+// True if the request may be sent to another endpoint while the first one is
+// slow to respond.
 bool may_leave_late_endpoint(const resend_view& view);
 
 }  // namespace trayrock
--- a/src/decide/resend_rule.cc
+++ b/src/decide/resend_rule.cc
@@ -15,9 +15,9 @@
 }
 
 bool may_leave_late_endpoint(const resend_view& view) {
-  resend_view after = view;
-  ++after.sends;
-  return resend_after_failure(after) != resend::never;
+  resend_view next = view;
+  ++next.sends;
+  return resend_after_failure(next) != resend::never;
 }
 
 }  // namespace trayrock
