--- a/include/trayrock/internal/decide/return_time.h
+++ b/include/trayrock/internal/decide/return_time.h
@@ -1,16 +1,16 @@
-// When a client that a stopping gateway turns away should come back.
+// The delay after which a rejected client should retry. No I/O and no clock.
 //
-// No I/O and no clock. The balancer needs a moment to notice that a gateway
-// stops. Then it sends its connections elsewhere, so that the client's next
-// one is served at once. If it goes on sending some here, the gateways of this
-// data centre are all stopping, and the client is served when a process that
-// follows one of them has started.
+// The balancer needs some health checks to notice that a gateway is stopping;
+// then it sends connections to other gateways, and a client may retry at once.
+// If it continues to send connections here, all gateways of this data centre
+// are stopping, and clients are served again when the first successor has
+// started.
 //
 // Example:
 //   drain_view view;
 //   view.draining_for = milliseconds(6000);
 //   view.since_last_connection = milliseconds(40);
-//   const milliseconds wait = return_time(view);  // 1500 ms
+//   const milliseconds delay = return_time(view);  // 1500 ms
 #pragma once
 
 #include <chrono>
@@ -24,7 +24,7 @@
   std::chrono::milliseconds since_last_connection{0};
 };
 
-// What clients are told goes by: what the balancer does, or nothing.
+// Whether the delay depends on the connections that the balancer sends.
 struct by_balancer {
   bool operator==(const by_balancer&) const = default;
 };
@@ -36,20 +36,18 @@
 std::chrono::milliseconds return_time(const drain_view& view,
                                       return_rule rule = by_balancer{});
 
-// The same of a gateway that has been cut off from all others for this long:
-// its clients find another one once the balancer has noticed.
+// For a gateway that has been isolated for this long: clients reach another
+// gateway once the balancer has noticed.
 std::chrono::milliseconds return_time_when_cut_off(
     std::chrono::milliseconds cut_off_for);
 
-// When a client should come back whose workspace's limit is reached; `next` is
-// how long until a permit may be there.
+// For a workspace whose limit is reached; `next` is the time until a permit may
+// be available.
 std::chrono::milliseconds return_time_at_limit(std::chrono::milliseconds next);
 
-// When a client should come back whose key cannot be served, since neither the
-// platform nor other gateways have shown for seconds that the configuration is
-// the newest: the platform is out for all, most likely, and back soon. Clients
-// who came back earlier would use up their tries (test/return_time_test.cc
-// plays one).
+// For a key that can't be served because neither the platform nor a peer has
+// confirmed that the configuration is the newest. Long enough that a client's
+// retries outlast a short outage of the platform.
 std::chrono::milliseconds return_time_when_unproven();
 
 }  // namespace trayrock
--- a/src/decide/return_time.cc
+++ b/src/decide/return_time.cc
@@ -7,49 +7,49 @@
 
 using std::chrono::milliseconds;
 
-// Another gateway serves the next connection.
+// For clients whose next connection reaches another gateway.
 constexpr milliseconds at_once{50};
-// The balancer asks once a second and goes by two answers; one more second for
-// a late one.
+// The balancer checks health once a second and requires two failed checks; one
+// more second for a delayed check.
 constexpr milliseconds balancer_notice{3000};
-// Connections that come more seldom than this are none that the balancer sends
-// for want of another gateway. The smallest site opens some dozen a second.
-constexpr milliseconds still_sent{1000};
-// Six tries, after which clients give up, outlast with this pause the 4.2 s
-// from a gateway's last request to its successor's first (measured). They wait
-// no longer than a third of the time that they have left, mostly 1.7 s.
-// An outage of the platform leaves keys without service for as long.
-constexpr milliseconds until_served_again{1500};
-
-milliseconds time_by(const always_at_once&, const drain_view&) {
+// A balancer without another gateway sends connections at shorter intervals
+// than this.
+constexpr milliseconds max_connection_interval{1000};
+// With this delay, the retries of a client outlast the start of a successor or
+// a short outage of the platform. Clients wait at most a third of the time that
+// they have left.
+constexpr milliseconds recovery_delay{1500};
+
+milliseconds delay_by(const always_at_once&, const drain_view&) {
   return at_once;
 }
 
-milliseconds time_by(const by_balancer&, const drain_view& view) {
-  const bool elsewhere = view.draining_for < balancer_notice ||
-                         view.since_last_connection > still_sent;
-  return elsewhere ? at_once : until_served_again;
+milliseconds delay_by(const by_balancer&, const drain_view& view) {
+  const bool next_gateway_serves =
+      view.draining_for < balancer_notice ||
+      view.since_last_connection > max_connection_interval;
+  return next_gateway_serves ? at_once : recovery_delay;
 }
 
-// Others wait for the same permit. Longer than this no client waits: a third of
-// the five seconds that most have.
-constexpr milliseconds longest_at_limit{1500};
-constexpr milliseconds shortest_at_limit{100};
+// Other clients wait for the same permit. No client waits longer than a third
+// of its deadline, which is mostly five seconds.
+constexpr milliseconds max_at_limit{1500};
+constexpr milliseconds min_at_limit{100};
 
 }  // namespace
 
 milliseconds return_time(const drain_view& view, return_rule rule) {
-  return std::visit([&](const auto& by) { return time_by(by, view); }, rule);
+  return std::visit([&](const auto& by) { return delay_by(by, view); }, rule);
 }
 
 milliseconds return_time_when_cut_off(milliseconds cut_off_for) {
   return std::max(balancer_notice - cut_off_for, at_once);
 }
 
-milliseconds return_time_when_unproven() { return until_served_again; }
+milliseconds return_time_when_unproven() { return recovery_delay; }
 
 milliseconds return_time_at_limit(milliseconds next) {
-  return std::clamp(next, shortest_at_limit, longest_at_limit);
+  return std::clamp(next, min_at_limit, max_at_limit);
 }
 
 }  // namespace trayrock
--- a/test/return_time_test.cc
+++ b/test/return_time_test.cc
@@ -1,4 +1,4 @@
-// When clients that a stopping gateway turns away come back.
+// Tests the delays after which rejected clients retry.
 #include "trayrock/internal/decide/return_time.h"
 
 #include <algorithm>
@@ -12,40 +12,38 @@
 
 class return_time_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(return_time_test);
-  CPPUNIT_TEST(before_the_balancer_notices_clients_come_back_at_once);
-  CPPUNIT_TEST(without_new_connections_clients_come_back_at_once);
-  CPPUNIT_TEST(gateways_that_all_stop_name_the_time_of_the_successor);
-  CPPUNIT_TEST(client_outlasts_a_platform_that_is_out_for_six_seconds);
-  CPPUNIT_TEST(limit_names_a_time_that_clients_wait);
+  CPPUNIT_TEST(clients_retry_at_once_before_the_balancer_notices);
+  CPPUNIT_TEST(clients_retry_at_once_without_new_connections);
+  CPPUNIT_TEST(clients_wait_for_a_successor_if_all_gateways_stop);
+  CPPUNIT_TEST(client_outlasts_a_platform_outage_of_six_seconds);
+  CPPUNIT_TEST(delay_at_limit_is_bounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void before_the_balancer_notices_clients_come_back_at_once() {
+  void clients_retry_at_once_before_the_balancer_notices() {
     expect(50, {milliseconds(2900), milliseconds(0)});
   }
 
-  void without_new_connections_clients_come_back_at_once() {
+  void clients_retry_at_once_without_new_connections() {
     expect(50, {milliseconds(6000), milliseconds(1100)});
   }
 
-  // Where all gateways are stopped a second apart, programs that are turned
-  // away for 50 ms each time use up their tries within a second, and the first
-  // successor comes after four.
-  void gateways_that_all_stop_name_the_time_of_the_successor() {
+  // Guards against clients that use up their retries before the first successor
+  // starts, when all gateways stop one after another.
+  void clients_wait_for_a_successor_if_all_gateways_stop() {
     expect(1500, {milliseconds(7700), milliseconds(20)});
     expect(1500, {milliseconds(5100), milliseconds(20)});
   }
 
-  // Keys are refused from some three seconds after the beginning of an outage
-  // until its end. A turn of a program has three tries, each with one return,
-  // and some tenths of a second between them.
-  void client_outlasts_a_platform_that_is_out_for_six_seconds() {
+  // Keys are refused from three seconds after the start of an outage until its
+  // end. A turn has three attempts, each with one retry.
+  void client_outlasts_a_platform_outage_of_six_seconds() {
     constexpr int refused_ms = 3500;
-    CPPUNIT_ASSERT(tries_last_ms(milliseconds(500)) < refused_ms);
-    CPPUNIT_ASSERT(tries_last_ms(return_time_when_unproven()) > refused_ms);
+    CPPUNIT_ASSERT(attempts_last_ms(milliseconds(500)) < refused_ms);
+    CPPUNIT_ASSERT(attempts_last_ms(return_time_when_unproven()) > refused_ms);
   }
 
-  void limit_names_a_time_that_clients_wait() {
+  void delay_at_limit_is_bounded() {
     CPPUNIT_ASSERT(return_time_at_limit(milliseconds(0)) == milliseconds(100));
     CPPUNIT_ASSERT(return_time_at_limit(milliseconds(700)) ==
                    milliseconds(700));
@@ -54,20 +52,20 @@
   }
 
  private:
-  // From a turn's first refusal to its last one.
-  static long tries_last_ms(milliseconds back_after) {
-    constexpr int tries = 3;
-    constexpr long between_tries_ms = 250;
+  // The time from a turn's first refusal to its last one.
+  static long attempts_last_ms(milliseconds retry_after) {
+    constexpr int attempts = 3;
+    constexpr long between_attempts_ms = 250;
     constexpr long deadline_ms = 5000;
     const long waits =
-        std::min(static_cast<long>(back_after.count()), deadline_ms / 3);
-    return tries * waits + (tries - 1) * between_tries_ms;
+        std::min(static_cast<long>(retry_after.count()), deadline_ms / 3);
+    return attempts * waits + (attempts - 1) * between_attempts_ms;
   }
 
   static void expect(int ms, const drain_view& view) {
-    const milliseconds seen = return_time(view);
-    TRAYROCK_CHECK(seen == milliseconds(ms),
-                   "expected " << ms << " ms, seen " << seen.count() << " ms");
+    const milliseconds actual = return_time(view);
+    TRAYROCK_CHECK(actual == milliseconds(ms),
+                   "expected " << ms << " ms, got " << actual.count() << " ms");
   }
 };
 
