--- a/include/trayrock/internal/decide/whole_events.h
+++ b/include/trayrock/internal/decide/whole_events.h
@@ -1,17 +1,17 @@
-// Cuts a stream of server-sent events into whole events, so that it can go on
-// at another endpoint behind any of them.
+// Buffers a stream of server-sent events and passes on complete events only, so
+// that the stream can resume at another endpoint after any of them.
 //
-// What a client has got of a resumable stream always ends with an event. When
-// the run behind it breaks, the half event that is left is thrown away, and the
-// next run is asked for what follows the last event's id. Ids are whole numbers
-// that rise. A run that repeats an event has not gone on where it was told to;
-// its events are refused, since two runs may have made different ones.
+// A run is the part of a stream that one endpoint sends. When a run breaks, its
+// incomplete event is discarded, and the next run is requested to start after
+// the last event's id. Ids are increasing integers. A run that repeats an event
+// did not resume there; its events are rejected, since two runs may produce
+// different ones.
 //
 // Example:
-//   whole_events events;
+//   complete_event_buffer events;
 //   events.add("id: 1\ndata: a\n\nid: 2\nda");  // "id: 1\ndata: a\n\n"
-//   events.begin_run();                         // the half event is gone
-//   events.add("id: 2\ndata: b\n\n");           // "id: 2\ndata: b\n\n"
+//   events.begin_run();                         // discards the incomplete
+//   event events.add("id: 2\ndata: b\n\n");           // "id: 2\ndata: b\n\n"
 //   events.add("id: 2\ndata: c\n\n");           // ""
 //   events.repeated();                          // true
 #pragma once
@@ -25,33 +25,33 @@
 
 class whole_events {
  public:
-  // Takes the next bytes of a run; returns the events that they complete, as
-  // they came.
+  // Adds the next bytes of a run and returns the bytes of the events that they
+  // complete.
   std::string add(std::string_view bytes);
 
-  // What has come behind the last whole event. The rest of an answer that is
-  // complete belongs to it.
+  // The bytes after the last complete event. They belong to the response if the
+  // run has ended without an error.
   std::string_view rest() const { return pending_; }
 
-  // From here on come the bytes of another run.
+  // Discards an incomplete event; the next bytes are those of another run.
   void begin_run();
 
-  // Of the last whole event; nothing when there is none, or when it has no id
-  // that is a number: then no run can go on behind it.
+  // The id of the last complete event. No value if there is none, or if its id
+  // is missing or not a number; then no run can resume after it.
   std::optional<std::uint64_t> last_id() const { return last_id_; }
 
-  // True once a run gave an event that an earlier run had given.
+  // True after a run repeated an event of an earlier run.
   bool repeated() const { return repeated_; }
 
  private:
   void end_line();
-  void end_event(std::string& whole);
+  void end_event(std::string& complete);
 
-  std::string pending_;              // of the event that has not ended
+  std::string pending_;              // bytes of the incomplete event
   std::size_t line_begin_ = 0;       // in `pending_`
-  std::optional<std::uint64_t> id_;  // of the event that has not ended
+  std::optional<std::uint64_t> id_;  // of the incomplete event
   std::optional<std::uint64_t> last_id_;
-  bool goes_on_ = false;  // another run came before
+  bool resumed_ = false;  // this run follows another one
   bool repeated_ = false;
 };
 
--- a/src/decide/event_stream.cc
+++ b/src/decide/event_stream.cc
@@ -12,7 +12,7 @@
     const std::size_t end = bytes.find('\n');
     if (end == std::string_view::npos) {
       line_.append(bytes);
-      open_ = true;
+      in_event_ = true;
       return;
     }
     line_.append(bytes.substr(0, end));
@@ -27,15 +27,15 @@
   }
   if (line_.empty()) {
     if (has_data_) {
-      ++whole_;
+      ++complete_events_;
       data_.append(event_data_).push_back('\n');
     }
     event_data_.clear();
     has_data_ = false;
-    open_ = false;
+    in_event_ = false;
     return;
   }
-  open_ = true;
+  in_event_ = true;
   const std::string_view line = line_;
   if (line.starts_with(data_field)) {
     std::string_view value = line.substr(data_field.size());
--- a/src/decide/whole_events.cc
+++ b/src/decide/whole_events.cc
@@ -7,7 +7,7 @@
 
 constexpr std::string_view id_field = "id:";
 
-// The line without what ends it.
+// The line without its line end.
 std::string_view content_of(std::string_view line) {
   line.remove_suffix(1);
   if (line.ends_with('\r')) {
@@ -32,7 +32,7 @@
 }  // namespace
 
 std::string whole_events::add(std::string_view bytes) {
-  std::string whole;
+  std::string complete;
   while (!bytes.empty() && !repeated_) {
     const std::size_t end = bytes.find('\n');
     if (end == std::string_view::npos) {
@@ -44,12 +44,12 @@
     const std::string_view line =
         std::string_view(pending_).substr(line_begin_);
     if (content_of(line).empty()) {
-      end_event(whole);
+      end_event(complete);
     } else {
       end_line();
     }
   }
-  return whole;
+  return complete;
 }
 
 void whole_events::end_line() {
@@ -61,11 +61,11 @@
   line_begin_ = pending_.size();
 }
 
-void whole_events::end_event(std::string& whole) {
-  if (goes_on_ && (!id_ || (last_id_ && *id_ <= *last_id_))) {
+void whole_events::end_event(std::string& complete) {
+  if (resumed_ && (!id_ || (last_id_ && *id_ <= *last_id_))) {
     repeated_ = true;
   } else {
-    whole.append(pending_);
+    complete.append(pending_);
     last_id_ = id_;
   }
   pending_.clear();
@@ -77,7 +77,7 @@
   pending_.clear();
   line_begin_ = 0;
   id_.reset();
-  goes_on_ = last_id_.has_value();
+  resumed_ = last_id_.has_value();
 }
 
 }  // namespace trayrock
--- a/test/resumed_stream_test.cc
+++ b/test/resumed_stream_test.cc
@@ -1,4 +1,4 @@
-// Streams that go on at another endpoint: what their clients get.
+// Tests what clients receive of streams that resume at another endpoint.
 #include "service_deployment.h"
 #include "test_support.h"
 #include "trayrock/internal/decide/resend_rule.h"
@@ -30,29 +30,29 @@
 
 class resumed_stream_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(resumed_stream_test);
-  CPPUNIT_TEST(run_broken_at_any_byte_leaves_whole_events);
-  CPPUNIT_TEST(next_run_joins_without_gap_or_double);
-  CPPUNIT_TEST(run_that_repeats_an_event_is_refused);
-  CPPUNIT_TEST(events_without_numbers_can_not_be_followed);
-  CPPUNIT_TEST(only_idempotent_requests_go_on);
-  CPPUNIT_TEST(stream_cut_in_an_event_goes_on_at_another_endpoint);
-  CPPUNIT_TEST(answer_keeps_the_head_of_its_first_run);
-  CPPUNIT_TEST(stream_that_falls_silent_goes_on_at_another_endpoint);
-  CPPUNIT_TEST(endpoint_that_never_begins_is_left_for_another);
-  CPPUNIT_TEST(run_that_starts_over_does_not_reach_the_client);
-  CPPUNIT_TEST(stream_that_breaks_everywhere_does_not_look_complete);
-  CPPUNIT_TEST(client_that_resumes_gets_what_is_left);
-  CPPUNIT_TEST(tokens_of_a_resumed_stream_count_once);
+  CPPUNIT_TEST(run_broken_at_any_byte_leaves_complete_events);
+  CPPUNIT_TEST(next_run_continues_without_gap_or_duplicate);
+  CPPUNIT_TEST(run_that_repeats_an_event_is_rejected);
+  CPPUNIT_TEST(events_without_numeric_ids_can_not_be_resumed);
+  CPPUNIT_TEST(only_idempotent_requests_are_sent_again);
+  CPPUNIT_TEST(stream_cut_in_an_event_resumes_at_another_endpoint);
+  CPPUNIT_TEST(response_keeps_the_headers_of_its_first_run);
+  CPPUNIT_TEST(hanging_stream_resumes_at_another_endpoint);
+  CPPUNIT_TEST(endpoint_that_never_responds_is_replaced_by_another);
+  CPPUNIT_TEST(run_that_restarts_does_not_reach_the_client);
+  CPPUNIT_TEST(stream_that_breaks_at_all_endpoints_is_incomplete);
+  CPPUNIT_TEST(resuming_client_receives_the_remaining_events);
+  CPPUNIT_TEST(tokens_of_a_resumed_stream_are_counted_once);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void run_broken_at_any_byte_leaves_whole_events() {
+  void run_broken_at_any_byte_leaves_complete_events() {
     const std::string bytes =
         "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
-    const std::string whole_ends[] = {"", "id: 1\ndata: a\n\n",
-                                      "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n"
-                                      "\r\n",
-                                      bytes};
+    const std::string expected[] = {"", "id: 1\ndata: a\n\n",
+                                    "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n"
+                                    "\r\n",
+                                    bytes};
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
       whole_events stream;
       std::string got;
@@ -60,13 +60,13 @@
         got += stream.add(std::string_view(&each, 1));
       }
       const std::uint64_t last = stream.last_id().value_or(0);
-      TRAYROCK_CHECK(got == whole_ends[last], "cut at " << cut << ": last id "
-                                                        << last << ", got\n"
-                                                        << got);
+      TRAYROCK_CHECK(got == expected[last], "cut at " << cut << ": last id "
+                                                      << last << ", got\n"
+                                                      << got);
     }
   }
 
-  void next_run_joins_without_gap_or_double() {
+  void next_run_continues_without_gap_or_duplicate() {
     const std::string bytes = events("a", 1, 3);
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
       whole_events stream;
@@ -79,7 +79,7 @@
     }
   }
 
-  void run_that_repeats_an_event_is_refused() {
+  void run_that_repeats_an_event_is_rejected() {
     whole_events stream;
     stream.add(events("a", 1, 2));
     stream.begin_run();
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT(stream.repeated());
   }
 
-  void events_without_numbers_can_not_be_followed() {
+  void events_without_numeric_ids_can_not_be_resumed() {
     for (const char* bytes :
          {"data: a\n\n", "id: x\ndata: a\n\n", "id: -1\ndata: a\n\n",
           "id: 99999999999999999999\ndata: a\n\n", "id:\ndata: a\n\n"}) {
@@ -97,7 +97,7 @@
     }
   }
 
-  void only_idempotent_requests_go_on() {
+  void only_idempotent_requests_are_sent_again() {
     resend_view view{repetition::stream, true, 1, 2, true, true};
     CPPUNIT_ASSERT(resend_after_failure(view) == resend::resume);
     view.answer_begun = false;
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT(resend_after_failure(view) == resend::never);
   }
 
-  void stream_cut_in_an_event_goes_on_at_another_endpoint() {
+  void stream_cut_in_an_event_resumes_at_another_endpoint() {
     const int length = static_cast<int>(event("s1", 2).size());
     for (const int cut : {0, 1, length / 2, length - 1}) {
       service_deployment system(one_gateway());
@@ -124,24 +124,24 @@
     }
   }
 
-  void answer_keeps_the_head_of_its_first_run() {
+  void response_keeps_the_headers_of_its_first_run() {
     service_deployment system(one_gateway());
     system.start_all();
-    const resumed seen = send_until_resumed(system, {{"cut_midway", 1}});
-    CPPUNIT_ASSERT_EQUAL("seal." + seen.first + "." + seen.attempt,
-                         seen.answer.headers.at("trayrock-response-seal"));
+    const resumed actual = send_until_resumed(system, {{"cut_midway", 1}});
+    CPPUNIT_ASSERT_EQUAL("seal." + actual.first + "." + actual.attempt,
+                         actual.answer.headers.at("trayrock-response-seal"));
   }
 
-  void stream_that_falls_silent_goes_on_at_another_endpoint() {
+  void hanging_stream_resumes_at_another_endpoint() {
     service_deployment system(one_gateway());
     system.start_all();
-    const resumed seen = send_until_resumed(system, {{"hang_midway", 1}});
-    wait_until("the silent endpoint sees its connection closed", [&] {
-      return system.counts(seen.first).value("cancelled", 0) == 1;
+    const resumed actual = send_until_resumed(system, {{"hang_midway", 1}});
+    wait_until("the connection of the hanging endpoint is closed", [&] {
+      return system.counts(actual.first).value("cancelled", 0) == 1;
     });
   }
 
-  void endpoint_that_never_begins_is_left_for_another() {
+  void endpoint_that_never_responds_is_replaced_by_another() {
     for (const char* fault : {"hang", "cut_unanswered"}) {
       service_deployment system(one_gateway());
       system.start_all();
@@ -149,40 +149,40 @@
     }
   }
 
-  void run_that_starts_over_does_not_reach_the_client() {
+  void run_that_restarts_does_not_reach_the_client() {
     service_deployment system(one_gateway());
     system.start_all();
-    const std::string first = next_runner(system);
+    const std::string first = next_endpoint(system);
     system.runner_fault(first, {{"cut_midway", 100}});
     system.runner_fault(first == "runner-1" ? "runner-2" : "runner-1",
                         {{"ignore_last_event", 100}});
-    int begun = 0;
-    wait_until(first + " has begun a stream", [&] {
-      const std::string attempt = "s" + std::to_string(++begun);
-      const std::string seen = raw_answer(system, attempt);
+    int attempts = 0;
+    wait_until(first + " has started a stream", [&] {
+      const std::string attempt = "s" + std::to_string(++attempts);
+      const std::string actual = raw_response(system, attempt);
       const bool broken = system.runs(attempt) == 2;
-      const bool complete = seen.find("\r\n0\r\n\r\n") != std::string::npos;
+      const bool complete = actual.find("\r\n0\r\n\r\n") != std::string::npos;
       TRAYROCK_CHECK(broken != complete, (broken ? "two runs" : "one run")
-                                             << ", seen\n"
-                                             << seen);
+                                             << ", response\n"
+                                             << actual);
       return broken;
     });
   }
 
-  void stream_that_breaks_everywhere_does_not_look_complete() {
+  void stream_that_breaks_at_all_endpoints_is_incomplete() {
     service_deployment system(one_gateway());
     system.start_all();
     system.runner_fault("runner-1", {{"cut_midway", 1}});
     system.runner_fault("runner-2", {{"cut_midway", 1}});
-    const std::string seen = raw_answer(system, "s1");
-    TRAYROCK_CHECK(seen.find("data: s1-2") != std::string::npos &&
-                       seen.find("data: s1-3") == std::string::npos,
-                   "expected one event of each run, seen " << seen);
-    TRAYROCK_CHECK(seen.find("\r\n0\r\n\r\n") == std::string::npos,
-                   "expected no end of the answer, seen " << seen);
+    const std::string actual = raw_response(system, "s1");
+    TRAYROCK_CHECK(actual.find("data: s1-2") != std::string::npos &&
+                       actual.find("data: s1-3") == std::string::npos,
+                   "expected one event of each run, got " << actual);
+    TRAYROCK_CHECK(actual.find("\r\n0\r\n\r\n") == std::string::npos,
+                   "expected an incomplete response, got " << actual);
   }
 
-  void client_that_resumes_gets_what_is_left() {
+  void resuming_client_receives_the_remaining_events() {
     service_deployment system(one_gateway());
     system.start_all();
     const http_answer answer =
@@ -190,12 +190,12 @@
     CPPUNIT_ASSERT_EQUAL(events("s1", 2, 3), answer.body);
   }
 
-  void tokens_of_a_resumed_stream_count_once() {
+  void tokens_of_a_resumed_stream_are_counted_once() {
     service_deployment system(one_gateway());
     system.start_all();
     system.runner_fault("runner-1", {{"cut_midway", 1}});
     system.runner_fault("runner-2", {{"cut_midway", 1}});
-    // One event of each run, of two tokens; each turn may make ten.
+    // Each run sends one event of two tokens; each turn may produce ten tokens.
     system.turn("gateway-1", "t1", "", "one", 14, path);
     wait_until("the turn's tokens are settled", [&] {
       return system.turn("gateway-1", "t2", "", "two", 14, path).status == 200;
@@ -206,28 +206,28 @@
 
  private:
   struct resumed {
-    std::string first;  // the endpoint that was to fail
+    std::string first;  // the endpoint with the fault
     std::string attempt;
     http_answer answer;
   };
 
-  // The endpoint that the next stream goes to: the one that has just served
-  // one, since there is a connection to it.
-  static std::string next_runner(service_deployment& system) {
+  // The endpoint that the next stream goes to: the one that served a stream
+  // last, since the gateway is connected to it.
+  static std::string next_endpoint(service_deployment& system) {
     const std::string attempt = "found-out";
     system.request("gateway-1", path, attempt, {}, "in");
     const json made = system.counts("runner-1");
     return made["runs"].contains(attempt) ? "runner-1" : "runner-2";
   }
 
-  // Sends streams until one has run at both endpoints, of which the first has
-  // the fault. Each of them must reach its client whole.
+  // Sends streams until one has run at both endpoints, the first of which has
+  // the fault. Each client must receive its complete stream.
   static resumed send_until_resumed(service_deployment& system,
                                     const json& fault) {
     resumed made;
-    made.first = next_runner(system);
+    made.first = next_endpoint(system);
     int sent = 0;
-    wait_until("a stream goes on", [&] {
+    wait_until("a stream resumes", [&] {
       system.runner_fault(made.first, fault);
       made.attempt = "s" + std::to_string(++sent);
       made.answer = system.request("gateway-1", path, made.attempt, {}, "in");
@@ -238,9 +238,9 @@
     return made;
   }
 
-  // The bytes of the answer, up to its end or the connection's.
-  static std::string raw_answer(service_deployment& system,
-                                const std::string& attempt) {
+  // The bytes of the response up to its end or the end of the connection.
+  static std::string raw_response(service_deployment& system,
+                                  const std::string& attempt) {
     constexpr int seconds = 5;
     return send_raw(system.port("gateway-1"),
                     "POST " + path +
