--- a/include/trayrock/internal/decide/program_sightings.h
+++ b/include/trayrock/internal/decide/program_sightings.h
@@ -1,14 +1,13 @@
-// Which programs a gateway has seen lately.
+// The programs of which a gateway forwarded a turn recently. No I/O; the caller
+// passes the time.
 //
-// Not every turn names the one before it. A gateway knows that a program is
-// under way when it has passed on a turn of it a short time ago.
-//
-// No I/O; the caller gives the time.
+// Not each turn names the previous one, so a gateway takes a program to be in
+// progress if it is recorded here.
 //
 // Example:
-//   program_sightings seen;
-//   seen.note("program", now);
-//   if (seen.knows("program", now)) go_on();
+//   program_sightings recent;
+//   recent.record("program", now);
+//   const bool in_progress = recent.contains("program", now);
 #pragma once
 
 #include <cstdint>
@@ -23,19 +22,18 @@
   void note(std::string_view program, std::uint64_t now_ms);
   bool knows(std::string_view program, std::uint64_t now_ms) const;
 
-  // Programs that are remembered.
   std::size_t size() const { return last_ms_.size(); }
 
  private:
-  struct sighting {
+  struct entry {
     std::uint64_t at_ms = 0;
     std::uint64_t hash = 0;
   };
 
-  void forget_old(std::uint64_t now_ms);
+  void remove_expired(std::uint64_t now_ms);
 
   std::unordered_map<std::uint64_t, std::uint64_t> last_ms_;  // by hash
-  std::deque<sighting> order_;
+  std::deque<entry> order_;
 };
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/urgency.h
+++ b/include/trayrock/internal/decide/urgency.h
@@ -1,13 +1,10 @@
-// How urgent a turn of a program is to a model engine.
+// The urgency of a program's turn, by which an overloaded model engine orders
+// its queue. No I/O and no clock.
 //
-// Under overload an engine admits the more urgent of those that wait first.
-// What matters to callers is whether whole programs end in time. A program
-// whose time is over is still answered, but behind all that can be in time;
-// otherwise one burst would leave everybody late for good, each for the sake of
-// those that are late already. Of those in time, programs under way go before
-// new ones: they would lose what was spent on them.
-//
-// No I/O and no clock.
+// Callers need whole programs to complete in time. Overdue programs are still
+// served, but after all that can be in time: otherwise a burst would make all
+// later programs overdue too. Programs in progress come before new ones, since
+// the work spent on them would be lost.
 //
 // Example:
 //   const int urgency = urgency_of({time_left, true, 1});  // 3
@@ -19,15 +16,15 @@
 
 namespace trayrock {
 
-// From 0, the most urgent, to 9; 5 is usual.
-constexpr int usual_urgency = 5;
-constexpr int urgency_late = 8;
+// Urgencies are from 0, the most urgent, to 9.
+constexpr int default_urgency = 5;
+constexpr int overdue_urgency = 8;
 
 struct turn_view {
-  // Until its program should be over; nothing: it does not say.
+  // Until the program's deadline; no value: it has none.
   std::optional<std::chrono::milliseconds> program_time_left;
-  bool goes_on = false;    // its program is under way
-  std::uint32_t rank = 0;  // of its route; 0 is the most urgent
+  bool goes_on = false;
+  std::uint32_t rank = 0;  // of the route; 0 is the most urgent
 };
 
 int urgency_of(const turn_view& turn);
--- a/src/decide/program_sightings.cc
+++ b/src/decide/program_sightings.cc
@@ -5,8 +5,8 @@
 namespace trayrock {
 namespace {
 
-// Longer than a program rests between two turns.
-constexpr std::uint64_t life_ms = 20000;
+// Longer than the interval between two turns of a program.
+constexpr std::uint64_t max_age_ms = 20000;
 
 std::uint64_t hash_of(std::string_view program) {
   return XXH3_64bits(program.data(), program.size());
@@ -15,7 +15,7 @@
 }  // namespace
 
 void program_sightings::note(std::string_view program, std::uint64_t now_ms) {
-  forget_old(now_ms);
+  remove_expired(now_ms);
   const std::uint64_t hash = hash_of(program);
   last_ms_[hash] = now_ms;
   order_.push_back({now_ms, hash});
@@ -24,14 +24,14 @@
 bool program_sightings::knows(std::string_view program,
                               std::uint64_t now_ms) const {
   const auto found = last_ms_.find(hash_of(program));
-  return found != last_ms_.end() && found->second + life_ms >= now_ms;
+  return found != last_ms_.end() && found->second + max_age_ms >= now_ms;
 }
 
-void program_sightings::forget_old(std::uint64_t now_ms) {
-  while (!order_.empty() && order_.front().at_ms + life_ms < now_ms) {
-    const auto held = last_ms_.find(order_.front().hash);
-    if (held != last_ms_.end() && held->second == order_.front().at_ms) {
-      last_ms_.erase(held);
+void program_sightings::remove_expired(std::uint64_t now_ms) {
+  while (!order_.empty() && order_.front().at_ms + max_age_ms < now_ms) {
+    const auto entry = last_ms_.find(order_.front().hash);
+    if (entry != last_ms_.end() && entry->second == order_.front().at_ms) {
+      last_ms_.erase(entry);
     }
     order_.pop_front();
   }
--- a/src/decide/urgency.cc
+++ b/src/decide/urgency.cc
@@ -5,22 +5,22 @@
 namespace trayrock {
 namespace {
 
-// Ranks behind it count alike.
-constexpr std::uint32_t least_urgent_rank = 2;
-// Those under way, and new ones.
-constexpr int steps_a_rank = 2;
+// Higher ranks count as this one.
+constexpr std::uint32_t max_rank = 2;
+// One step for programs in progress and one for new ones.
+constexpr int steps_per_rank = 2;
 
 }  // namespace
 
 int urgency_of(const turn_view& turn) {
   if (!turn.program_time_left) {
-    return usual_urgency;
+    return default_urgency;
   }
   if (turn.program_time_left->count() <= 0) {
-    return urgency_late;
+    return overdue_urgency;
   }
-  const int of_rank = static_cast<int>(std::min(turn.rank, least_urgent_rank));
-  return steps_a_rank * of_rank + (turn.goes_on ? 1 : 2);
+  const int rank = static_cast<int>(std::min(turn.rank, max_rank));
+  return steps_per_rank * rank + (turn.goes_on ? 1 : 2);
 }
 
 }  // namespace trayrock
