--- a/test/endpoint_identity_test.cc
+++ b/test/endpoint_identity_test.cc
@@ -1,8 +1,6 @@
-// Endpoints that start again under the id that they had.
-//
-// What was held of the instance before stayed with the id: an endpoint that had
-// been marked as superseded got nothing more for good, and failures, requests
-// under way and reports of the former instance counted against the new one.
+// Tests endpoints that restart under the same id. Guards against the state of a
+// former instance (superseded, failures, requests in flight) that is applied to
+// the new one.
 #include "trayrock/internal/decide/endpoint_identity.h"
 
 #include <algorithm>
@@ -34,9 +32,9 @@
 
 endpoint_state_ptr chosen(const endpoint_directory& endpoints,
                           std::uint64_t at_ms = now_ms) {
-  endpoint_choice wanted;
-  wanted.service = service;
-  return endpoints.choose(wanted, at_ms);
+  endpoint_choice criteria;
+  criteria.service = service;
+  return endpoints.choose(criteria, at_ms);
 }
 
 // The start of the instance that a request goes to; 0: none.
@@ -45,40 +43,40 @@
   return found == nullptr ? 0 : found->record.identity.started_ms;
 }
 
-endpoint_directory directory_with(const endpoint& known) {
+endpoint_directory directory_with(const endpoint& listed) {
   endpoint_directory made;
-  made.update(known, now_ms);
+  made.update(listed, now_ms);
   return made;
 }
 
 class endpoint_identity_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(endpoint_identity_test);
   CPPUNIT_TEST(text_names_the_instance);
-  CPPUNIT_TEST(new_instance_has_none_of_the_former_ones_marks);
+  CPPUNIT_TEST(new_instance_has_no_state_of_the_former_one);
   CPPUNIT_TEST(new_instance_has_nothing_in_flight);
-  CPPUNIT_TEST(new_instance_of_a_leaving_one_is_used);
-  CPPUNIT_TEST(restart_is_seen_in_a_listing);
-  CPPUNIT_TEST(restart_and_removal_in_one_answer_leave_the_new_instance);
-  CPPUNIT_TEST(record_of_the_former_instance_changes_nothing);
-  CPPUNIT_TEST(record_without_a_start_does_not_replace_one_with);
-  CPPUNIT_TEST(listing_of_a_former_instance_changes_nothing);
-  CPPUNIT_TEST(late_removal_of_the_former_instance_changes_nothing);
-  CPPUNIT_TEST(removal_that_names_no_start_goes_by_its_revision);
-  CPPUNIT_TEST(late_answer_of_the_former_instance_changes_nothing);
-  CPPUNIT_TEST(reports_of_the_former_instance_change_nothing);
-  CPPUNIT_TEST(report_that_comes_before_the_new_record_counts_then);
+  CPPUNIT_TEST(new_instance_of_a_draining_endpoint_is_used);
+  CPPUNIT_TEST(restart_is_detected_in_a_listing);
+  CPPUNIT_TEST(restart_and_removal_in_one_reply_keep_the_new_instance);
+  CPPUNIT_TEST(record_of_the_former_instance_has_no_effect);
+  CPPUNIT_TEST(record_without_a_start_does_not_replace_one_with_a_start);
+  CPPUNIT_TEST(listing_of_a_former_instance_has_no_effect);
+  CPPUNIT_TEST(delayed_removal_of_the_former_instance_has_no_effect);
+  CPPUNIT_TEST(removal_without_a_start_is_ordered_by_its_revision);
+  CPPUNIT_TEST(delayed_response_of_the_former_instance_has_no_effect);
+  CPPUNIT_TEST(reports_of_the_former_instance_have_no_effect);
+  CPPUNIT_TEST(report_before_the_new_record_applies_to_it);
   CPPUNIT_TEST(turn_of_the_former_instance_has_no_preference);
-  CPPUNIT_TEST(request_may_try_the_new_instance_behind_the_former);
-  CPPUNIT_TEST(identity_goes_between_gateways);
+  CPPUNIT_TEST(request_may_try_the_new_instance_after_the_former);
+  CPPUNIT_TEST(identity_is_encoded_in_messages);
   CPPUNIT_TEST(any_order_of_records_and_reports);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void text_names_the_instance() {
-    const endpoint_identity known{"runner-1", 77};
-    CPPUNIT_ASSERT_EQUAL(std::string("runner-1@77"), known.text());
+    const endpoint_identity expected{"runner-1", 77};
+    CPPUNIT_ASSERT_EQUAL(std::string("runner-1@77"), expected.text());
     for (const endpoint_identity& each :
-         {known, endpoint_identity{"runner-1", 0}, endpoint_identity{"", 0},
+         {expected, endpoint_identity{"runner-1", 0}, endpoint_identity{"", 0},
           endpoint_identity{"a@b", 9}}) {
       CPPUNIT_ASSERT(endpoint_identity::parse(each.text()) == each);
     }
@@ -86,7 +84,7 @@
                          endpoint_identity::parse("a@x").id);
   }
 
-  void new_instance_has_none_of_the_former_ones_marks() {
+  void new_instance_has_no_state_of_the_former_one() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
     const endpoint_state_ptr former = chosen(endpoints);
     attempt(*former, attempt_outcome::other_instance);
@@ -105,7 +103,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, chosen(endpoints)->in_flight);
   }
 
-  void new_instance_of_a_leaving_one_is_used() {
+  void new_instance_of_a_draining_endpoint_is_used() {
     endpoint_directory endpoints =
         directory_with(instance(first_start, 1, true));
     CPPUNIT_ASSERT(chosen(endpoints) == nullptr);
@@ -113,40 +111,40 @@
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
   }
 
-  void restart_is_seen_in_a_listing() {
+  void restart_is_detected_in_a_listing() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
     chosen(endpoints)->superseded = true;
     endpoints.replace({instance(second_start, 2)}, true, {now_ms, now_ms});
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
   }
 
-  void restart_and_removal_in_one_answer_leave_the_new_instance() {
+  void restart_and_removal_in_one_reply_keep_the_new_instance() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
     endpoints.remove({"a", first_start}, 5);
     endpoints.update(instance(second_start, 4), now_ms);
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
   }
 
-  void record_of_the_former_instance_changes_nothing() {
+  void record_of_the_former_instance_has_no_effect() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     endpoints.update(instance(first_start, 9, true), now_ms);
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
   }
 
-  // Of an earlier version of a gateway, which knows no starts.
-  void record_without_a_start_does_not_replace_one_with() {
+  // Gateways of earlier versions send records without a start.
+  void record_without_a_start_does_not_replace_one_with_a_start() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     endpoints.update(instance(0, 9, true), now_ms);
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
   }
 
-  void listing_of_a_former_instance_changes_nothing() {
+  void listing_of_a_former_instance_has_no_effect() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     endpoints.replace({instance(first_start, 1)}, false, {now_ms});
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
   }
 
-  void late_removal_of_the_former_instance_changes_nothing() {
+  void delayed_removal_of_the_former_instance_has_no_effect() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     endpoints.remove({"a", first_start}, 9);
     endpoints.lapse({"a", first_start}, 9, {now_ms});
@@ -154,7 +152,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, endpoints.unlisted());
   }
 
-  void removal_that_names_no_start_goes_by_its_revision() {
+  void removal_without_a_start_is_ordered_by_its_revision() {
     endpoint_directory endpoints = directory_with(instance(second_start, 7));
     endpoints.remove({"a", 0}, 6);
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
@@ -162,7 +160,7 @@
     CPPUNIT_ASSERT(chosen(endpoints) == nullptr);
   }
 
-  void late_answer_of_the_former_instance_changes_nothing() {
+  void delayed_response_of_the_former_instance_has_no_effect() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
     const endpoint_state_ptr former = chosen(endpoints);
     endpoint_directory::begin(*former, now_ms);
@@ -173,7 +171,7 @@
     CPPUNIT_ASSERT(!chosen(endpoints)->health.avoided(now_ms));
   }
 
-  void reports_of_the_former_instance_change_nothing() {
+  void reports_of_the_former_instance_have_no_effect() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     for (const std::uint64_t start : {first_start, std::uint64_t{0}}) {
       CPPUNIT_ASSERT(!endpoints.supersede({"a", start}));
@@ -186,7 +184,7 @@
     CPPUNIT_ASSERT(!chosen(endpoints)->health.avoided(now_ms));
   }
 
-  void report_that_comes_before_the_new_record_counts_then() {
+  void report_before_the_new_record_applies_to_it() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
     endpoints.supersede({"a", second_start});
     CPPUNIT_ASSERT_EQUAL(first_start, chosen_start(endpoints));
@@ -199,40 +197,41 @@
     endpoint other = instance(0, 3);
     other.identity = {"b", first_start};
     endpoints.update(other, now_ms);
-    endpoint_choice wanted;
-    wanted.service = service;
-    wanted.preferred = {"a", first_start};
-    // Which of two that look alike is drawn goes by the request.
-    wanted.draw = 1;
+    endpoint_choice criteria;
+    criteria.service = service;
+    criteria.preferred = {"a", first_start};
+    // Without a preference, the request's random number breaks the tie.
+    criteria.draw = 1;
     const std::string one =
-        endpoints.choose(wanted, now_ms)->record.identity.id;
-    wanted.draw = 2;
+        endpoints.choose(criteria, now_ms)->record.identity.id;
+    criteria.draw = 2;
     const std::string two =
-        endpoints.choose(wanted, now_ms)->record.identity.id;
+        endpoints.choose(criteria, now_ms)->record.identity.id;
     CPPUNIT_ASSERT(one != two);
   }
 
-  void request_may_try_the_new_instance_behind_the_former() {
+  void request_may_try_the_new_instance_after_the_former() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     const std::set<endpoint_identity> tried{{"a", first_start}};
-    endpoint_choice wanted;
-    wanted.service = service;
-    wanted.excluded = &tried;
-    CPPUNIT_ASSERT(endpoints.choose(wanted, now_ms) != nullptr);
+    endpoint_choice criteria;
+    criteria.service = service;
+    criteria.excluded = &tried;
+    CPPUNIT_ASSERT(endpoints.choose(criteria, now_ms) != nullptr);
   }
 
-  void identity_goes_between_gateways() {
-    const endpoint known = instance(second_start, 2);
-    CPPUNIT_ASSERT(decode(encode(known)).value().identity == known.identity);
-    CPPUNIT_ASSERT(decode(encode(known.identity)) == known.identity);
+  void identity_is_encoded_in_messages() {
+    const endpoint expected = instance(second_start, 2);
+    CPPUNIT_ASSERT(decode(encode(expected)).value().identity ==
+                   expected.identity);
+    CPPUNIT_ASSERT(decode(encode(expected.identity)) == expected.identity);
   }
 
-  // Two gateways hear of one endpoint with several starts, each in an order of
-  // its own, and report to each other what they meet.
+  // Two gateways receive the records and reports of an endpoint with several
+  // starts, each in a random order.
   void any_order_of_records_and_reports() {
     constexpr std::uint64_t seeds = 2000;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      play(seed);
+      simulate(seed);
     }
   }
 
@@ -242,79 +241,79 @@
     endpoint_directory::end(at, outcome, 1, now_ms);
   }
 
-  // One thing that a gateway hears.
-  struct word {
+  // A record or report that a gateway receives.
+  struct message {
     enum class kind { record, listing, removal, failure, superseded } what;
     endpoint about;
   };
 
-  static std::vector<word> words_of(std::mt19937_64& random,
-                                    std::uint64_t starts) {
-    std::vector<word> made;
+  static std::vector<message> random_messages(std::mt19937_64& random,
+                                              std::uint64_t starts) {
+    std::vector<message> made;
     std::uint64_t revision = 0;
     for (std::uint64_t start = 1; start <= starts; ++start) {
       const endpoint ready = instance(start, ++revision);
       const endpoint leaving = instance(start, ++revision, true);
-      made.push_back({word::kind::record, ready});
-      made.push_back({word::kind::listing, ready});
+      made.push_back({message::kind::record, ready});
+      made.push_back({message::kind::listing, ready});
       if (start < starts) {
-        made.push_back({word::kind::record, leaving});
-        made.push_back({word::kind::removal, instance(start, ++revision)});
-        made.push_back({word::kind::failure, ready});
-        made.push_back({word::kind::superseded, ready});
+        made.push_back({message::kind::record, leaving});
+        made.push_back({message::kind::removal, instance(start, ++revision)});
+        made.push_back({message::kind::failure, ready});
+        made.push_back({message::kind::superseded, ready});
       }
     }
     std::shuffle(made.begin(), made.end(), random);
     return made;
   }
 
-  static void hear(endpoint_directory& endpoints, const word& heard,
-                   std::uint64_t seed) {
-    switch (heard.what) {
-      case word::kind::record:
-        endpoints.update(heard.about, now_ms);
+  static void deliver(endpoint_directory& endpoints, const message& received,
+                      std::uint64_t seed) {
+    switch (received.what) {
+      case message::kind::record:
+        endpoints.update(received.about, now_ms);
         return;
-      case word::kind::listing:
-        endpoints.replace({heard.about}, seed % 2 == 0, {now_ms, now_ms});
+      case message::kind::listing:
+        endpoints.replace({received.about}, seed % 2 == 0, {now_ms, now_ms});
         return;
-      case word::kind::removal:
-        endpoints.remove(heard.about.identity, heard.about.revision);
+      case message::kind::removal:
+        endpoints.remove(received.about.identity, received.about.revision);
         return;
-      case word::kind::failure:
-        endpoints.report_failure(heard.about.identity, "other", now_ms);
+      case message::kind::failure:
+        endpoints.report_failure(received.about.identity, "other", now_ms);
         return;
-      case word::kind::superseded:
-        endpoints.supersede(heard.about.identity);
+      case message::kind::superseded:
+        endpoints.supersede(received.about.identity);
         return;
     }
   }
 
-  static void play(std::uint64_t seed) {
+  static void simulate(std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const std::uint64_t starts = 2 + seed % 3;
     for (int gateway = 0; gateway < 2; ++gateway) {
       endpoint_directory endpoints;
-      std::uint64_t newest_heard = 0;
-      std::uint64_t newest_left = 0;
-      for (const word& each : words_of(random, starts)) {
-        hear(endpoints, each, seed);
-        const bool speaks_of_it =
-            each.what == word::kind::record || each.what == word::kind::listing;
+      std::uint64_t newest_received = 0;
+      std::uint64_t newest_draining = 0;
+      for (const message& each : random_messages(random, starts)) {
+        deliver(endpoints, each, seed);
+        const bool lists_instance = each.what == message::kind::record ||
+                                    each.what == message::kind::listing;
         const std::uint64_t start = each.about.identity.started_ms;
-        if (speaks_of_it) {
-          newest_heard = std::max(newest_heard, start);
+        if (lists_instance) {
+          newest_received = std::max(newest_received, start);
         }
-        if (each.what == word::kind::record && each.about.draining &&
-            start >= newest_heard) {
-          newest_left = std::max(newest_left, start);
+        if (each.what == message::kind::record && each.about.draining &&
+            start >= newest_received) {
+          newest_draining = std::max(newest_draining, start);
         }
         const std::uint64_t used = chosen_start(endpoints);
-        TRAYROCK_CHECK(used == 0 || used >= newest_heard,
+        TRAYROCK_CHECK(used == 0 || used >= newest_received,
                        "seed " << seed << ": instance " << used
-                               << " is used, known is " << newest_heard);
-        TRAYROCK_CHECK(used == 0 || used > newest_left,
+                               << " is used, newest is " << newest_received);
+        TRAYROCK_CHECK(used == 0 || used > newest_draining,
                        "seed " << seed << ": instance " << used
-                               << " is used, which has said that it leaves");
+                               << " is used although it is draining");
       }
       TRAYROCK_CHECK(chosen_start(endpoints) == starts,
                      "seed " << seed << ": the ready instance " << starts
--- a/test/leaving_endpoint_test.cc
+++ b/test/leaving_endpoint_test.cc
@@ -1,16 +1,6 @@
-// Users saw an endpoint that had left get requests from one gateway, 12.0 s
-// after it had said so. Order of events: the gateway was cut off from the
-// platform for 12 s; the endpoint left meanwhile; the cut ended; 0.64 s later
-// the gateway listed the endpoints; it went on using the missing one for 2.3 s
-// and up to 0.25 s more, as one whose record had lapsed with the platform.
-// Boxes have 3 s to reconnect. Cause: the time for lapsed records ran from the
-// gateway's own listing, which comes whole seconds after the platform is back.
-// Evidence: in six plays of such a day the gateway listed 0.635 to 0.647 s
-// after the cut's end, and dropped the endpoints that had left 3.018 to 3.027 s
-// after it, each time.
-//
-// The last test plays the gateway's calls in virtual time, with the product's
-// own directory, over every phase of the cut's end against those calls.
+// Guards against an endpoint that left during a partition and is still used
+// after boxes have had the time to reconnect, because the gateway took its
+// record for an expired one.
 #include "test_support.h"
 #include "trayrock/internal/decide/probe_pace.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
@@ -20,7 +10,7 @@
 
 constexpr const char* service = "labels";
 constexpr std::uint64_t reconnect_ms = 3000;
-constexpr std::uint64_t answer_ms = 4;
+constexpr std::uint64_t response_ms = 4;
 
 endpoint named(const std::string& id) {
   endpoint made;
@@ -32,13 +22,13 @@
   return made;
 }
 
-// Which endpoint gets a request that would best go to the leaving one.
+// The endpoint that is chosen for a request that prefers the leaving one.
 std::string chosen(const endpoint_directory& endpoints, std::uint64_t now_ms) {
-  endpoint_choice wanted;
-  wanted.service = service;
-  wanted.preferred = {"leaving"};
-  wanted.data_centre = "x";
-  const endpoint_state_ptr found = endpoints.choose(wanted, now_ms);
+  endpoint_choice criteria;
+  criteria.service = service;
+  criteria.preferred = {"leaving"};
+  criteria.data_centre = "x";
+  const endpoint_state_ptr found = endpoints.choose(criteria, now_ms);
   return found == nullptr ? "none" : found->record.identity.id;
 }
 
@@ -52,30 +42,31 @@
 const std::vector<endpoint> without_the_leaving_one{named("a"), named("b"),
                                                     named("c")};
 
-// How calls to the platform fail while it is away.
-enum class absence { silent, refuses };
+// How calls to the platform fail during the partition.
+enum class call_failure { silent, refused };
 
-// One gateway and the platform, which is away for it until `back_ms`.
-class cut_off_gateway {
+// A gateway that can't reach the platform until `back_ms`.
+class partitioned_gateway {
  public:
-  cut_off_gateway(absence how, std::uint64_t back_ms)
+  partitioned_gateway(call_failure how, std::uint64_t back_ms)
       : how_(how), back_ms_(back_ms), endpoints_(directory_of_four()) {}
 
-  // The listing that follows the first call that is answered.
+  // Applies the listing that follows the first successful call.
   void list_again() {
     std::uint64_t pause_ms = 0;
     while (now_ms_ < back_ms_) {
-      unserved_ms_ = now_ms_;
-      now_ms_ +=
-          how_ == absence::silent ? pace_.wait_ms + pace_.margin_ms : answer_ms;
+      last_failed_call_ms_ = now_ms_;
+      now_ms_ += how_ == call_failure::silent ? pace_.wait_ms + pace_.margin_ms
+                                              : response_ms;
       pause_ms = next_pause_ms(pace_, pause_ms);
       now_ms_ += pause_ms;
     }
-    now_ms_ += 2 * answer_ms;
-    endpoints_.replace(without_the_leaving_one, true, {now_ms_, unserved_ms_});
+    now_ms_ += 2 * response_ms;
+    endpoints_.replace(without_the_leaving_one, true,
+                       {now_ms_, last_failed_call_ms_});
   }
 
-  // The last moment at which the leaving endpoint is chosen.
+  // The last time at which the leaving endpoint is chosen.
   std::uint64_t last_used_ms() {
     std::uint64_t last = 0;
     constexpr std::uint64_t long_after_ms = 8000;
@@ -92,33 +83,33 @@
   }
 
  private:
-  absence how_;
+  call_failure how_;
   std::uint64_t back_ms_;
   probe_pace pace_;
   std::uint64_t now_ms_ = 1;
-  std::uint64_t unserved_ms_ = 0;
+  std::uint64_t last_failed_call_ms_ = 0;
   endpoint_directory endpoints_;
 };
 
 class leaving_endpoint_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(leaving_endpoint_test);
-  CPPUNIT_TEST(endpoint_that_left_behind_a_cut_is_left_in_time);
-  CPPUNIT_TEST(removal_that_looks_like_a_lapse_is_heeded_in_time);
-  CPPUNIT_TEST(endpoint_is_left_in_time_whenever_the_cut_ends);
+  CPPUNIT_TEST(endpoint_that_left_in_a_partition_is_dropped_in_time);
+  CPPUNIT_TEST(removal_that_looks_like_an_expiry_is_applied_in_time);
+  CPPUNIT_TEST(endpoint_is_dropped_in_time_whenever_the_partition_ends);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The figures of the plays: a call at 19,105 is lost, the cut ends at 20,000,
-  // the listing comes at 20,640. Whoever lost a call at 19,105 has to leave the
-  // endpoint by 22,105, since the cut may have ended right behind that call.
-  void endpoint_that_left_behind_a_cut_is_left_in_time() {
+  // The call at 19,105 fails and the listing arrives at 20,640. The partition
+  // may have ended right after that call, so the endpoint must not be used from
+  // 22,105 on.
+  void endpoint_that_left_in_a_partition_is_dropped_in_time() {
     endpoint_directory endpoints = directory_of_four();
     endpoints.replace(without_the_leaving_one, true, {20640, 19105});
     CPPUNIT_ASSERT(chosen(endpoints, 19105 + reconnect_ms) != "leaving");
   }
 
-  // The same where nearly all records go in one answer.
-  void removal_that_looks_like_a_lapse_is_heeded_in_time() {
+  // The same if one reply removes nearly all records.
+  void removal_that_looks_like_an_expiry_is_applied_in_time() {
     endpoint_directory endpoints = directory_of_four();
     for (const char* id : {"leaving", "a", "b"}) {
       endpoints.lapse({id}, 0, {20640, 19105});
@@ -126,18 +117,20 @@
     CPPUNIT_ASSERT(chosen(endpoints, 19105 + reconnect_ms) != "leaving");
   }
 
-  void endpoint_is_left_in_time_whenever_the_cut_ends() {
+  void endpoint_is_dropped_in_time_whenever_the_partition_ends() {
     constexpr std::uint64_t first_ms = 4000;
     constexpr std::uint64_t last_ms = 16000;
     constexpr std::uint64_t step_ms = 7;
-    for (const absence how : {absence::silent, absence::refuses}) {
+    for (const call_failure how :
+         {call_failure::silent, call_failure::refused}) {
       for (std::uint64_t back = first_ms; back < last_ms; back += step_ms) {
-        cut_off_gateway gateway(how, back);
+        partitioned_gateway gateway(how, back);
         gateway.list_again();
         const std::uint64_t last = gateway.last_used_ms();
         TRAYROCK_CHECK(last < back + reconnect_ms,
-                       "cut ends at "
-                           << back << ", silent " << (how == absence::silent)
+                       "partition ends at "
+                           << back << ", silent "
+                           << (how == call_failure::silent)
                            << "; the endpoint was last chosen " << last - back
                            << " ms later, allowed " << reconnect_ms);
       }
