--- a/src/decide/endpoint_choice.cc
+++ b/src/decide/endpoint_choice.cc
@@ -24,22 +24,22 @@
 // Latencies of endpoints relative to the median of their service.
 class latency_scale {
  public:
-  latency_scale(std::span<const endpoint_state_ptr> among, bool ignores_noise,
-                std::uint64_t now_ms)
+  latency_scale(std::span<const endpoint_state_ptr> endpoints,
+                bool ignores_noise, std::uint64_t now_ms)
       : ignores_noise_(ignores_noise), now_ms_(now_ms) {
     if (!ignores_noise) {
       return;
     }
-    std::vector<double> known;
-    for (const endpoint_state_ptr& each : among) {
+    std::vector<double> latencies_ms;
+    for (const endpoint_state_ptr& each : endpoints) {
       if (each->latency_ms > 0) {
-        known.push_back(each->latency_ms);
+        latencies_ms.push_back(each->latency_ms);
       }
     }
-    if (!known.empty()) {
-      const auto middle =
-          known.begin() + static_cast<std::ptrdiff_t>(known.size() / 2);
-      std::nth_element(known.begin(), middle, known.end());
+    if (!latencies_ms.empty()) {
+      const auto middle = latencies_ms.begin() +
+                          static_cast<std::ptrdiff_t>(latencies_ms.size() / 2);
+      std::nth_element(latencies_ms.begin(), middle, latencies_ms.end());
       median_ms_ = *middle;
     }
   }
@@ -124,14 +124,14 @@
     const endpoint_choice& criteria, const choice_policy& policy,
     const latency_scale& latencies, std::uint64_t now_ms) {
   std::vector<std::size_t> least;
-  double least_load = 0;
+  double min_load = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const double load =
         load_of(*candidates[i], criteria, policy, latencies, now_ms);
-    if (least.empty() || load < least_load) {
+    if (least.empty() || load < min_load) {
       least.assign(1, i);
-      least_load = load;
-    } else if (load == least_load) {
+      min_load = load;
+    } else if (load == min_load) {
       least.push_back(i);
     }
   }
--- a/src/decide/relay_choice.cc
+++ b/src/decide/relay_choice.cc
@@ -39,8 +39,8 @@
 
 // The peer's current state, or a new one.
 relay_choice::state relay_choice::state_of(const relay_peer& peer) {
-  const state* known = find(peer.address);
-  state made = known == nullptr ? state{} : *known;
+  const state* current = find(peer.address);
+  state made = current == nullptr ? state{} : *current;
   made.peer = peer;
   const std::string pair = own_name_ + " " + peer.name;
   made.order = XXH3_64bits(pair.data(), pair.size());
@@ -58,8 +58,8 @@
   if (peer.name == own_name_ || peer.address.empty()) {
     return;
   }
-  const state* const known = find(peer.address);
-  if (known != nullptr && known->peer.name == peer.name) {
+  const state* const current = find(peer.address);
+  if (current != nullptr && current->peer.name == peer.name) {
     return;
   }
   state made = state_of(peer);
--- a/test/endpoint_choice_load_test.cc
+++ b/test/endpoint_choice_load_test.cc
@@ -59,7 +59,7 @@
 
 struct outcome {
   double mean_wait_ms = 0;
-  double late_share = 0;     // turns that waited longer than they ran
+  double long_wait_share = 0;  // turns that waited longer than they ran
   double busiest_share = 0;  // load of the busiest engine relative to the mean
 };
 
@@ -183,11 +183,11 @@
     for (const turn& each : turns_) {
       const double waited = each.started_ms - each.arrived_ms;
       made.mean_wait_ms += waited;
-      made.late_share += waited > turn_ms ? 1 : 0;
+      made.long_wait_share += waited > turn_ms ? 1 : 0;
     }
     const auto count = static_cast<double>(turns_.size());
     made.mean_wait_ms /= count;
-    made.late_share /= count;
+    made.long_wait_share /= count;
     int busiest = 0;
     for (const engine& each : engines_) {
       busiest = std::max(busiest, each.started);
@@ -211,7 +211,7 @@
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     const outcome each = load_simulation(policy, seed).run();
     mean.mean_wait_ms += each.mean_wait_ms / seeds;
-    mean.late_share += each.late_share / seeds;
+    mean.long_wait_share += each.long_wait_share / seeds;
     mean.busiest_share += each.busiest_share / seeds;
   }
   return mean;
@@ -225,8 +225,8 @@
 }
 
 std::string text_of(const outcome& from) {
-  return "wait " + std::to_string(from.mean_wait_ms) + " ms, late " +
-         std::to_string(from.late_share) + ", busiest " +
+  return "wait " + std::to_string(from.mean_wait_ms) + " ms, long waits " +
+         std::to_string(from.long_wait_share) + ", busiest " +
          std::to_string(from.busiest_share);
 }
 
@@ -243,8 +243,8 @@
     const std::string text =
         "without spreading: " + text_of(without_spreading) +
         "; with spreading: " + text_of(with_spreading);
-    CPPUNIT_ASSERT_MESSAGE(
-        text, with_spreading.late_share < 0.7 * without_spreading.late_share);
+    CPPUNIT_ASSERT_MESSAGE(text, with_spreading.long_wait_share <
+                                     0.7 * without_spreading.long_wait_share);
     CPPUNIT_ASSERT_MESSAGE(
         text, with_spreading.mean_wait_ms < without_spreading.mean_wait_ms);
   }
