--- a/include/trayrock/internal/decide/cold_start.h
+++ b/include/trayrock/internal/decide/cold_start.h
@@ -20,14 +20,14 @@
 #include <string_view>
 
 #include "trayrock/internal/decide/endpoint_identity.h"
-#include "trayrock/internal/decide/relay_choice.h"
+#include "trayrock/internal/decide/relay_selector.h"
 
 namespace trayrock {
 
 // The operator's limit for cold endpoints of a service.
 struct cold_limit {
-  double requests_per_second = 0;      // to one endpoint; 0: no limit
-  std::chrono::milliseconds lasts{0};  // from the endpoint's start
+  double requests_per_second = 0;         // to one endpoint; 0: no limit
+  std::chrono::milliseconds duration{0};  // from the endpoint's start
 
   bool exists() const { return requests_per_second > 0; }
   bool operator==(const cold_limit&) const = default;
--- a/include/trayrock/internal/decide/whole_events.h
+++ b/include/trayrock/internal/decide/complete_event_buffer.h
@@ -23,7 +23,7 @@
 
 namespace trayrock {
 
-class whole_events {
+class complete_event_buffer {
  public:
   // Adds the next bytes of a run and returns the bytes of the events that they
   // complete.
--- a/include/trayrock/internal/decide/duration_book.h
+++ b/include/trayrock/internal/decide/duration_estimator.h
@@ -3,9 +3,9 @@
 // no clock.
 //
 // Example:
-//   duration_book durations;
+//   duration_estimator durations;
 //   durations.add("chat", milliseconds(240));
-//   if (durations.needed("chat", stops_midway::yes) > time_left) refuse();
+//   if (durations.needed("chat", partial_delivery::yes) > time_left) refuse();
 #pragma once
 
 #include <array>
@@ -21,7 +21,7 @@
 // Whether the client may have received a part of the response when time runs
 // out. An interrupted stream is lost; a response that has not begun can be
 // replaced by an error.
-enum class stops_midway { no, yes };
+enum class partial_delivery { no, yes };
 
 // The source of the estimate: the route's last requests, or a fixed time for
 // all routes.
@@ -31,11 +31,11 @@
 struct by_fixed_time {
   bool operator==(const by_fixed_time&) const = default;
 };
-using stop_estimate = std::variant<by_recent_requests, by_fixed_time>;
+using duration_source = std::variant<by_recent_requests, by_fixed_time>;
 
-class duration_book {
+class duration_estimator {
  public:
-  explicit duration_book(stop_estimate estimate = by_recent_requests{})
+  explicit duration_estimator(duration_source estimate = by_recent_requests{})
       : estimate_(estimate) {}
 
   // The estimate for a route with too few samples.
@@ -48,7 +48,7 @@
 
   // The time that must be left to start a request of the route.
   std::chrono::milliseconds needed(std::string_view route,
-                                   stops_midway kind) const;
+                                   partial_delivery kind) const;
 
  private:
   static constexpr std::size_t max_samples = 64;
@@ -61,13 +61,14 @@
 
   std::chrono::milliseconds needed_by(const by_recent_requests&,
                                       std::string_view route,
-                                      stops_midway kind) const;
+                                      partial_delivery kind) const;
   static std::chrono::milliseconds needed_by(const by_fixed_time&,
-                                             std::string_view, stops_midway) {
+                                             std::string_view,
+                                             partial_delivery) {
     return unknown;
   }
 
-  stop_estimate estimate_;
+  duration_source estimate_;
   std::map<std::string, samples, std::less<>> routes_;
 };
 
--- a/include/trayrock/internal/decide/endpoint_choice.h
+++ b/include/trayrock/internal/decide/endpoint_choice.h
@@ -45,21 +45,21 @@
   double unconnected_factor = default_unconnected_factor;
   double cold_factor = default_cold_factor;
   // Otherwise the first of the least loaded endpoints is chosen.
-  bool draws_among_equals = true;
+  bool breaks_ties_randomly = true;
   // Latencies up to twice the median count as equal.
-  bool levels_latencies = true;
+  bool ignores_latency_noise = true;
 
   bool operator==(const choice_policy&) const = default;
 };
 
-struct endpoint_choice {
+struct endpoint_criteria {
   std::string_view service;
   endpoint_identity preferred;  // its cache holds the prompt; empty: none
   std::string_view data_centre;
   std::function<bool(const endpoint&)> connected;
   const std::set<endpoint_identity>* excluded = nullptr;
   // The request may run only once, so it avoids endpoints on probation.
-  bool once = false;
+  bool at_most_once = false;
   // A random number for this request, which breaks ties.
   std::uint64_t draw = 0;
 };
@@ -67,7 +67,7 @@
 // Returns nullptr if none of the service's endpoints is usable.
 endpoint_state_ptr choose_endpoint(
     std::span<const endpoint_state_ptr> endpoints,
-    const endpoint_choice& criteria, const choice_policy& policy,
+    const endpoint_criteria& criteria, const choice_policy& policy,
     std::uint64_t now_ms);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/endpoint_health.h
+++ b/include/trayrock/internal/decide/endpoint_health.h
@@ -24,9 +24,9 @@
 namespace trayrock {
 
 struct health_policy {
-  bool pauses_after_refusals = true;
+  bool backs_off_after_refusals = true;
   // After a backoff, the endpoint is on probation until it responds.
-  bool tries_behind_pauses = true;
+  bool has_probation_after_backoff = true;
 
   bool operator==(const health_policy&) const = default;
 };
@@ -38,25 +38,25 @@
 
   // A request of this gateway got no complete response. Returns true if this
   // starts a backoff; so do the functions below.
-  bool failed(std::uint64_t now_ms);
+  bool record_failure(std::uint64_t now_ms);
 
   // A request of another gateway failed at the endpoint.
-  bool reported(std::string_view gateway, std::uint64_t now_ms);
+  bool record_peer_failure(std::string_view gateway, std::uint64_t now_ms);
 
   // The connection attempt failed.
-  bool unreachable(std::uint64_t now_ms);
+  bool record_unreachable(std::uint64_t now_ms);
 
   // The endpoint refused a request without running it.
-  bool refused(std::uint64_t now_ms);
+  bool record_refusal(std::uint64_t now_ms);
 
-  void answered(std::uint64_t now_ms);
+  void record_response(std::uint64_t now_ms);
 
-  bool avoided(std::uint64_t now_ms) const {
+  bool is_in_backoff(std::uint64_t now_ms) const {
     return in_failure_backoff(now_ms) || refusal_backoff_until_ms_ > now_ms;
   }
 
   // True after a backoff until the endpoint responds.
-  bool on_trial(std::uint64_t now_ms) const;
+  bool is_on_probation(std::uint64_t now_ms) const;
 
  private:
   bool in_failure_backoff(std::uint64_t now_ms) const {
--- a/include/trayrock/internal/decide/endpoint_state.h
+++ b/include/trayrock/internal/decide/endpoint_state.h
@@ -18,7 +18,7 @@
 
 // How an attempt at an endpoint ended.
 enum class attempt_outcome {
-  answered,
+  responded,
   refused,         // the endpoint reports that it did not run the request
   other_instance,  // not run, since it was meant for another instance
   cancelled,       // the client disconnected first
@@ -51,11 +51,11 @@
   bool is_cold(std::uint64_t now_ms) const {
     return cold.exists() &&
            (cold_until_ms > now_ms || presumed_cold_until_ms > now_ms ||
-            health.on_trial(now_ms));
+            health.is_on_probation(now_ms));
   }
 
   // True if it is cold and this gateway has used up its share of this second.
-  bool takes_no_more(std::uint64_t now_ms) const {
+  bool is_cold_limit_reached(std::uint64_t now_ms) const {
     return is_cold(now_ms) && sent.count(now_ms) >= cold_share;
   }
 };
--- a/include/trayrock/internal/decide/event_stream.h
+++ b/include/trayrock/internal/decide/event_stream.h
@@ -21,7 +21,7 @@
   void add(std::string_view bytes);
 
   // The number of complete events.
-  std::uint64_t whole_events() const { return complete_events_; }
+  std::uint64_t complete_events() const { return complete_events_; }
 
   // Includes an event that has begun and is not complete.
   std::uint64_t started_events() const {
--- a/include/trayrock/internal/decide/contact_rule.h
+++ b/include/trayrock/internal/decide/isolation_detector.h
@@ -11,7 +11,7 @@
 // peers, an isolated process and an outage of all stores look the same.
 //
 // Example:
-//   contact_rule detector;
+//   isolation_detector detector;
 //   detector.on_request_sent(now);  // to a store or peer
 //   detector.on_reply();            // of any of them
 //   detector.tick(now);             // about every tick_period_ms
@@ -22,17 +22,17 @@
 
 namespace trayrock {
 
-class contact_rule {
+class isolation_detector {
  public:
   static constexpr std::uint64_t tick_period_ms = 100;
 
-  void asked(std::uint64_t now_ms);
-  void heard();
+  void on_request_sent(std::uint64_t now_ms);
+  void on_reply();
   void tick(std::uint64_t now_ms);
 
-  bool cut_off() const { return isolated_since_ms_ != 0; }
+  bool is_isolated() const { return isolated_since_ms_ != 0; }
   // When the first request without a reply was sent; 0: not isolated.
-  std::uint64_t cut_off_since_ms() const { return isolated_since_ms_; }
+  std::uint64_t isolated_since_ms() const { return isolated_since_ms_; }
 
  private:
   std::uint64_t unanswered_since_ms_ = 0;  // 0: no reply is pending
--- a/include/trayrock/internal/decide/program_sightings.h
+++ b/include/trayrock/internal/decide/recent_programs.h
@@ -5,7 +5,7 @@
 // progress if it is recorded here.
 //
 // Example:
-//   program_sightings recent;
+//   recent_programs recent;
 //   recent.record("program", now);
 //   const bool in_progress = recent.contains("program", now);
 #pragma once
@@ -17,10 +17,10 @@
 
 namespace trayrock {
 
-class program_sightings {
+class recent_programs {
  public:
-  void note(std::string_view program, std::uint64_t now_ms);
-  bool knows(std::string_view program, std::uint64_t now_ms) const;
+  void record(std::string_view program, std::uint64_t now_ms);
+  bool contains(std::string_view program, std::uint64_t now_ms) const;
 
   std::size_t size() const { return last_ms_.size(); }
 
--- a/include/trayrock/internal/decide/lapse_rule.h
+++ b/include/trayrock/internal/decide/record_expiry.h
@@ -14,8 +14,9 @@
 // first listing, which may be seconds later.
 //
 // Example:
-//   lapsed_at_once(68, 68);  // true
-//   if (now < kept_until_ms(absence::listed_after_loss, times, 3000)) use_it();
+//   is_mass_expiry(68, 68);  // true
+//   if (now < kept_until_ms(missing_cause::absent_after_outage, times, 3000))
+//   use_it();
 #pragma once
 
 #include <cstddef>
@@ -24,29 +25,29 @@
 namespace trayrock {
 
 // The times by which missing records are judged.
-struct answer_times {
+struct reply_times {
   std::uint64_t now_ms = 0;
   // When the last call that the platform did not serve was sent; 0: none.
-  std::uint64_t unserved_ms = 0;
+  std::uint64_t last_failed_call_ms = 0;
   // Until when the peer that reported the removal keeps using such endpoints;
   // 0: reported by the platform.
-  std::uint64_t told_until_ms = 0;
+  std::uint64_t peer_keeps_until_ms = 0;
 };
 
 // How the gateway found that endpoints are missing.
-enum class absence {
-  listed_after_loss,  // not in the first listing after failed calls
-  nearly_all_at_once
+enum class missing_cause {
+  absent_after_outage,  // not in the first listing after failed calls
+  mass_removal
 };
 
 // True if one reply removed so many of the known records that they are likely
 // to have expired in an outage.
-bool lapsed_at_once(std::size_t removed, std::size_t known);
+bool is_mass_expiry(std::size_t removed, std::size_t known);
 
 // Until when missing endpoints may be used, in milliseconds. A time up to
 // `times.now_ms` means that they must not be used any more. Boxes have
 // `reconnect_ms` from the platform's return to obtain the current records.
-std::uint64_t kept_until_ms(absence how, const answer_times& times,
+std::uint64_t kept_until_ms(missing_cause how, const reply_times& times,
                             std::uint64_t reconnect_ms);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/relay_choice.h
+++ b/include/trayrock/internal/decide/relay_selector.h
@@ -8,7 +8,7 @@
 // all peers are in backoff, the one whose backoff ends first is used.
 //
 // Example:
-//   relay_choice relays("gateway-1", "north");
+//   relay_selector relays("gateway-1", "north");
 //   relays.replace({{"gateway-2", "127.0.0.1:7000", "north"}});
 //   const std::string via = relays.pick(now);
 //   relays.record_failure(via, relay_failure::silent, now);
@@ -33,9 +33,9 @@
   store_unreachable  // the peer got no reply from the store
 };
 
-class relay_choice {
+class relay_selector {
  public:
-  relay_choice(std::string own_name, std::string own_data_centre);
+  relay_selector(std::string own_name, std::string own_data_centre);
 
   // Replaces the list of peers; the state of those that remain is kept.
   void replace(const std::vector<relay_peer>& peers);
@@ -50,13 +50,13 @@
   std::string pick(std::uint64_t now_ms) const;
 
   // True if each peer is in backoff, or there are none.
-  bool exhausted(std::uint64_t now_ms) const;
+  bool all_in_backoff(std::uint64_t now_ms) const;
 
   // The peer relayed a call and returned the reply.
-  void passed_on(std::string_view address, std::uint64_t now_ms);
+  void record_success(std::string_view address, std::uint64_t now_ms);
 
-  void failed(std::string_view address, relay_failure how,
-              std::uint64_t now_ms);
+  void record_failure(std::string_view address, relay_failure how,
+                      std::uint64_t now_ms);
 
  private:
   struct state {
--- a/include/trayrock/internal/decide/resend_rule.h
+++ b/include/trayrock/internal/decide/resend_policy.h
@@ -11,7 +11,7 @@
 //   resend_view view;
 //   view.kind = repetition::repeatable;
 //   view.sends = 1;
-//   view.most_sends = 2;
+//   view.max_sends = 2;
 //   resend_after_failure(view);  // resend::again
 #pragma once
 
@@ -25,9 +25,9 @@
   repetition kind = repetition::once;
   bool resumable = false;   // streams of the route may resume elsewhere
   std::uint32_t sends = 0;  // endpoints that the request was sent to
-  std::uint32_t most_sends = 1;
-  bool answer_begun = false;    // the client has a part of the response
-  bool has_last_event = false;  // which ends with an event that has an id
+  std::uint32_t max_sends = 1;
+  bool response_started = false;  // the client has a part of the response
+  bool has_last_event = false;    // which ends with an event that has an id
 };
 
 enum class resend {
@@ -41,6 +41,6 @@
 
 // True if the request may be sent to another endpoint while the first one is
 // slow to respond.
-bool may_leave_late_endpoint(const resend_view& view);
+bool may_abandon_slow_endpoint(const resend_view& view);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/return_time.h
+++ b/include/trayrock/internal/decide/retry_after.h
@@ -10,7 +10,7 @@
 //   drain_view view;
 //   view.draining_for = milliseconds(6000);
 //   view.since_last_connection = milliseconds(40);
-//   const milliseconds delay = return_time(view);  // 1500 ms
+//   const milliseconds delay = retry_after_delay(view);  // 1500 ms
 #pragma once
 
 #include <chrono>
@@ -28,26 +28,26 @@
 struct by_balancer {
   bool operator==(const by_balancer&) const = default;
 };
-struct always_at_once {
-  bool operator==(const always_at_once&) const = default;
+struct always_immediate {
+  bool operator==(const always_immediate&) const = default;
 };
-using return_rule = std::variant<by_balancer, always_at_once>;
+using retry_after_policy = std::variant<by_balancer, always_immediate>;
 
-std::chrono::milliseconds return_time(const drain_view& view,
-                                      return_rule rule = by_balancer{});
+std::chrono::milliseconds retry_after_delay(
+    const drain_view& view, retry_after_policy rule = by_balancer{});
 
 // For a gateway that has been isolated for this long: clients reach another
 // gateway once the balancer has noticed.
-std::chrono::milliseconds return_time_when_cut_off(
+std::chrono::milliseconds retry_after_when_isolated(
     std::chrono::milliseconds cut_off_for);
 
 // For a workspace whose limit is reached; `next` is the time until a permit may
 // be available.
-std::chrono::milliseconds return_time_at_limit(std::chrono::milliseconds next);
+std::chrono::milliseconds retry_after_at_limit(std::chrono::milliseconds next);
 
 // For a key that can't be served because neither the platform nor a peer has
 // confirmed that the configuration is the newest. Long enough that a client's
 // retries outlast a short outage of the platform.
-std::chrono::milliseconds return_time_when_unproven();
+std::chrono::milliseconds retry_after_when_config_stale();
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/late_rule.h
+++ b/include/trayrock/internal/decide/slow_endpoint_detector.h
@@ -8,7 +8,7 @@
 // requests may be sent again.
 //
 // Example:
-//   late_rule detector;
+//   slow_endpoint_detector detector;
 //   detector.record_first_byte(milliseconds(31));
 //   const auto timeout = detector.first_byte_timeout(objective);
 //   if (waited > timeout && detector.acquire_resend()) send_to_another();
@@ -27,44 +27,44 @@
 struct compared_with_service {
   bool operator==(const compared_with_service&) const = default;
 };
-struct objective_alone {
-  bool operator==(const objective_alone&) const = default;
+struct objective_only {
+  bool operator==(const objective_only&) const = default;
 };
-using slow_criterion = std::variant<compared_with_service, objective_alone>;
+using slow_criterion = std::variant<compared_with_service, objective_only>;
 
-struct late_policy {
+struct slow_endpoint_policy {
   slow_criterion limit = compared_with_service{};
-  bool leaves = true;  // false: only reports slow endpoints
+  bool allows_resend = true;  // false: only reports slow endpoints
 
-  bool operator==(const late_policy&) const = default;
+  bool operator==(const slow_endpoint_policy&) const = default;
 };
 
-class late_rule {
+class slow_endpoint_detector {
  public:
   using milliseconds = std::chrono::milliseconds;
 
-  explicit late_rule(late_policy policy = {});
+  explicit slow_endpoint_detector(slow_endpoint_policy policy = {});
 
   // Records the time to the first byte of a response, or the time after which
   // the request was moved to another endpoint.
-  void answer_began(milliseconds after);
+  void record_first_byte(milliseconds after);
 
   // The time to wait for the first byte; at least `min_timeout`.
-  milliseconds late_after(milliseconds min_timeout) const;
+  milliseconds first_byte_timeout(milliseconds min_timeout) const;
 
   // Takes one resend from the budget. False: keep waiting for the slow
   // endpoint.
-  bool leave() { return policy_.leaves && budget_.spend(); }
+  bool acquire_resend() { return policy_.allows_resend && budget_.spend(); }
 
  private:
   milliseconds timeout_by(const compared_with_service&,
                           milliseconds min_timeout) const;
-  static milliseconds timeout_by(const objective_alone&,
+  static milliseconds timeout_by(const objective_only&,
                                  milliseconds min_timeout) {
     return min_timeout;
   }
 
-  late_policy policy_;
+  slow_endpoint_policy policy_;
   double mean_ms_ = 0;
   double deviation_ms_ = 0;  // mean distance from the mean
   std::uint64_t response_count_ = 0;
--- a/include/trayrock/internal/decide/urgency.h
+++ b/include/trayrock/internal/decide/urgency.h
@@ -23,7 +23,7 @@
 struct turn_view {
   // Until the program's deadline; no value: it has none.
   std::optional<std::chrono::milliseconds> program_time_left;
-  bool goes_on = false;
+  bool program_in_progress = false;
   std::uint32_t rank = 0;  // of the route; 0 is the most urgent
 };
 
--- a/src/decide/duration_book.cc
+++ b/src/decide/duration_estimator.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/duration_book.h"
+#include "trayrock/internal/decide/duration_estimator.h"
 
 #include <algorithm>
 
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-void duration_book::add(std::string_view route,
-                        std::chrono::milliseconds taken) {
+void duration_estimator::add(std::string_view route,
+                             std::chrono::milliseconds taken) {
   auto entry = routes_.find(route);
   if (entry == routes_.end()) {
     entry = routes_.emplace(route, samples{}).first;
@@ -24,7 +24,8 @@
   ++recorded.count;
 }
 
-std::chrono::milliseconds duration_book::longest(std::string_view route) const {
+std::chrono::milliseconds duration_estimator::longest(
+    std::string_view route) const {
   const auto entry = routes_.find(route);
   if (entry == routes_.end() || entry->second.count < min_samples) {
     return unknown;
@@ -33,17 +34,17 @@
                            entry->second.last.end());
 }
 
-std::chrono::milliseconds duration_book::needed(std::string_view route,
-                                                stops_midway kind) const {
+std::chrono::milliseconds duration_estimator::needed(
+    std::string_view route, partial_delivery kind) const {
   return std::visit([&](const auto& by) { return needed_by(by, route, kind); },
                     estimate_);
 }
 
-std::chrono::milliseconds duration_book::needed_by(const by_recent_requests&,
-                                                   std::string_view route,
-                                                   stops_midway kind) const {
+std::chrono::milliseconds duration_estimator::needed_by(
+    const by_recent_requests&, std::string_view route,
+    partial_delivery kind) const {
   const std::chrono::milliseconds estimate = longest(route);
-  if (kind == stops_midway::no) {
+  if (kind == partial_delivery::no) {
     return estimate;
   }
   const std::chrono::milliseconds with_margin(
--- a/src/decide/endpoint_choice.cc
+++ b/src/decide/endpoint_choice.cc
@@ -64,7 +64,7 @@
   double median_ms_ = assumed_latency_ms;
 };
 
-double load_of(const endpoint_state& at, const endpoint_choice& criteria,
+double load_of(const endpoint_state& at, const endpoint_criteria& criteria,
                const choice_policy& policy, const latency_scale& latencies,
                std::uint64_t now_ms) {
   double load = (at.in_flight + 1) * latencies.relative_to_median(at) /
@@ -81,28 +81,29 @@
   return load;
 }
 
-bool is_usable(const endpoint_state& at, const endpoint_choice& criteria,
+bool is_usable(const endpoint_state& at, const endpoint_criteria& criteria,
                std::uint64_t now_ms) {
   const bool excluded = criteria.excluded != nullptr &&
                         criteria.excluded->contains(at.record.identity);
   const bool removed = at.kept_until_ms != 0 && at.kept_until_ms <= now_ms;
   return !at.record.draining && !at.superseded && !at.evacuated && !removed &&
-         !excluded && !at.takes_no_more(now_ms);
+         !excluded && !at.is_cold_limit_reached(now_ms);
 }
 
 // An endpoint on probation gets one request at a time.
-bool is_trusted(const endpoint_state& at, const endpoint_choice& criteria,
+bool is_trusted(const endpoint_state& at, const endpoint_criteria& criteria,
                 std::uint64_t now_ms) {
-  if (at.health.avoided(now_ms)) {
+  if (at.health.is_in_backoff(now_ms)) {
     return false;
   }
-  return !at.health.on_trial(now_ms) || (!criteria.once && at.in_flight == 0);
+  return !at.health.is_on_probation(now_ms) ||
+         (!criteria.at_most_once && at.in_flight == 0);
 }
 
 // Includes unhealthy endpoints only if too few others are left.
 std::vector<endpoint_state_ptr> candidates_of(
     std::span<const endpoint_state_ptr> endpoints,
-    const endpoint_choice& criteria, std::uint64_t now_ms) {
+    const endpoint_criteria& criteria, std::uint64_t now_ms) {
   std::vector<endpoint_state_ptr> usable;
   std::vector<endpoint_state_ptr> healthy;
   for (const endpoint_state_ptr& each : endpoints) {
@@ -121,7 +122,7 @@
 // `candidates` must not be empty.
 const endpoint_state_ptr& pick_least_loaded(
     std::span<const endpoint_state_ptr> candidates,
-    const endpoint_choice& criteria, const choice_policy& policy,
+    const endpoint_criteria& criteria, const choice_policy& policy,
     const latency_scale& latencies, std::uint64_t now_ms) {
   std::vector<std::size_t> least;
   double min_load = 0;
@@ -136,7 +137,7 @@
     }
   }
   const std::size_t drawn =
-      policy.draws_among_equals ? criteria.draw % least.size() : 0;
+      policy.breaks_ties_randomly ? criteria.draw % least.size() : 0;
   return candidates[least[drawn]];
 }
 
@@ -152,14 +153,15 @@
 
 endpoint_state_ptr choose_endpoint(
     std::span<const endpoint_state_ptr> endpoints,
-    const endpoint_choice& criteria, const choice_policy& policy,
+    const endpoint_criteria& criteria, const choice_policy& policy,
     std::uint64_t now_ms) {
   const std::vector<endpoint_state_ptr> candidates =
       candidates_of(endpoints, criteria, now_ms);
   if (candidates.empty()) {
     return nullptr;
   }
-  const latency_scale latencies(candidates, policy.levels_latencies, now_ms);
+  const latency_scale latencies(candidates, policy.ignores_latency_noise,
+                                now_ms);
   const endpoint_state_ptr& least =
       pick_least_loaded(candidates, criteria, policy, latencies, now_ms);
   const auto preferred =
--- a/src/decide/endpoint_health.cc
+++ b/src/decide/endpoint_health.cc
@@ -54,20 +54,20 @@
   return true;
 }
 
-void endpoint_health::answered(std::uint64_t now_ms) {
+void endpoint_health::record_response(std::uint64_t now_ms) {
   consecutive_failures_ = 0;
   refusal_doublings_ = 0;
   responded_since_backoff_ =
       responded_since_backoff_ || !in_failure_backoff(now_ms);
 }
 
-bool endpoint_health::on_trial(std::uint64_t now_ms) const {
-  return policy_.tries_behind_pauses && !responded_since_backoff_ &&
+bool endpoint_health::is_on_probation(std::uint64_t now_ms) const {
+  return policy_.has_probation_after_backoff && !responded_since_backoff_ &&
          !in_failure_backoff(now_ms) &&
          now_ms - backoff_until_ms_ < max_probation_ms;
 }
 
-bool endpoint_health::failed(std::uint64_t now_ms) {
+bool endpoint_health::record_failure(std::uint64_t now_ms) {
   ++consecutive_failures_;
   if (in_failure_backoff(now_ms)) {
     return false;
@@ -79,7 +79,8 @@
       now_ms);
 }
 
-bool endpoint_health::reported(std::string_view gateway, std::uint64_t now_ms) {
+bool endpoint_health::record_peer_failure(std::string_view gateway,
+                                          std::uint64_t now_ms) {
   if (in_failure_backoff(now_ms)) {
     return false;
   }
@@ -93,8 +94,8 @@
   return start_backoff_if(evidence_ >= evidence_threshold, now_ms);
 }
 
-bool endpoint_health::refused(std::uint64_t now_ms) {
-  if (!policy_.pauses_after_refusals || avoided(now_ms)) {
+bool endpoint_health::record_refusal(std::uint64_t now_ms) {
+  if (!policy_.backs_off_after_refusals || is_in_backoff(now_ms)) {
     return false;
   }
   refusal_backoff_until_ms_ =
@@ -103,7 +104,7 @@
   return true;
 }
 
-bool endpoint_health::unreachable(std::uint64_t now_ms) {
+bool endpoint_health::record_unreachable(std::uint64_t now_ms) {
   ++consecutive_failures_;
   return start_backoff_if(true, now_ms);
 }
--- a/src/decide/lapse_rule.cc
+++ b/src/decide/record_expiry.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/lapse_rule.h"
+#include "trayrock/internal/decide/record_expiry.h"
 
 #include <algorithm>
 
@@ -19,29 +19,29 @@
 
 // True if the last failed call belongs to the outage that removed the records.
 // A mass removal long after it belongs to a later outage.
-bool is_failed_call_of_outage(absence how, const answer_times& times,
+bool is_failed_call_of_outage(missing_cause how, const reply_times& times,
                               std::uint64_t reconnect_ms) {
-  const bool recent = times.unserved_ms + reconnect_ms > times.now_ms;
-  return times.unserved_ms != 0 &&
-         (recent || how == absence::listed_after_loss);
+  const bool recent = times.last_failed_call_ms + reconnect_ms > times.now_ms;
+  return times.last_failed_call_ms != 0 &&
+         (recent || how == missing_cause::absent_after_outage);
 }
 
 }  // namespace
 
-std::uint64_t kept_until_ms(absence how, const answer_times& times,
+std::uint64_t kept_until_ms(missing_cause how, const reply_times& times,
                             std::uint64_t reconnect_ms) {
   std::uint64_t until = times.now_ms + registration_grace_ms;
-  if (times.told_until_ms != 0) {
-    return std::min(until, times.told_until_ms);
+  if (times.peer_keeps_until_ms != 0) {
+    return std::min(until, times.peer_keeps_until_ms);
   }
   if (is_failed_call_of_outage(how, times, reconnect_ms)) {
-    until =
-        std::min(until, times.unserved_ms + reconnect_ms - reconnect_margin_ms);
+    until = std::min(
+        until, times.last_failed_call_ms + reconnect_ms - reconnect_margin_ms);
   }
   return until;
 }
 
-bool lapsed_at_once(std::size_t removed, std::size_t known) {
+bool is_mass_expiry(std::size_t removed, std::size_t known) {
   return known >= min_records &&
          static_cast<double>(removed) >=
              static_cast<double>(known) * mass_expiry_share;
--- a/src/decide/late_rule.cc
+++ b/src/decide/slow_endpoint_detector.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/late_rule.h"
+#include "trayrock/internal/decide/slow_endpoint_detector.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,11 +20,11 @@
 
 }  // namespace
 
-late_rule::late_rule(late_policy policy)
+slow_endpoint_detector::slow_endpoint_detector(slow_endpoint_policy policy)
     : policy_(policy), budget_(resend_percent) {}
 
-void late_rule::answer_began(milliseconds after) {
-  budget_.note_call();
+void slow_endpoint_detector::record_first_byte(milliseconds after) {
+  budget_.record_call();
   const auto ms = static_cast<double>(after.count());
   const double distance = std::abs(ms - mean_ms_);
   if (response_count_ == 0) {
@@ -36,13 +36,13 @@
   ++response_count_;
 }
 
-std::chrono::milliseconds late_rule::late_after(
+std::chrono::milliseconds slow_endpoint_detector::first_byte_timeout(
     milliseconds min_timeout) const {
   return std::visit([&](const auto& by) { return timeout_by(by, min_timeout); },
                     policy_.limit);
 }
 
-std::chrono::milliseconds late_rule::timeout_by(
+std::chrono::milliseconds slow_endpoint_detector::timeout_by(
     const compared_with_service&, milliseconds min_timeout) const {
   if (response_count_ < min_responses) {
     return min_timeout * initial_factor;
--- a/src/decide/urgency.cc
+++ b/src/decide/urgency.cc
@@ -20,7 +20,7 @@
     return overdue_urgency;
   }
   const int rank = static_cast<int>(std::min(turn.rank, max_rank));
-  return steps_per_rank * rank + (turn.goes_on ? 1 : 2);
+  return steps_per_rank * rank + (turn.program_in_progress ? 1 : 2);
 }
 
 }  // namespace trayrock
--- a/test/duration_book_test.cc
+++ b/test/duration_estimator_test.cc
@@ -1,5 +1,5 @@
 // Tests the estimates of how long a route's requests take.
-#include "trayrock/internal/decide/duration_book.h"
+#include "trayrock/internal/decide/duration_estimator.h"
 
 #include "test_support.h"
 
@@ -18,14 +18,14 @@
 
  public:
   void route_with_few_samples_has_the_default() {
-    duration_book durations;
+    duration_estimator durations;
     add(durations, 15, 10);
-    CPPUNIT_ASSERT(durations.longest("chat") == duration_book::unknown);
-    CPPUNIT_ASSERT(durations.longest("other") == duration_book::unknown);
+    CPPUNIT_ASSERT(durations.longest("chat") == duration_estimator::unknown);
+    CPPUNIT_ASSERT(durations.longest("other") == duration_estimator::unknown);
   }
 
   void longest_recent_sample_counts() {
-    duration_book durations;
+    duration_estimator durations;
     add(durations, 20, 10);
     add(durations, 1, 900);
     add(durations, 20, 10);
@@ -33,7 +33,7 @@
   }
 
   void old_samples_are_dropped() {
-    duration_book durations;
+    duration_estimator durations;
     add(durations, 1, 900);
     add(durations, 64, 10);
     CPPUNIT_ASSERT(durations.longest("chat") == milliseconds(10));
@@ -42,19 +42,19 @@
   // Guards against a stopping gateway that interrupts a stream which is longer
   // than the recent ones.
   void stream_needs_more_than_the_longest_recent_one() {
-    duration_book durations;
+    duration_estimator durations;
     add(durations, 20, 100);
-    CPPUNIT_ASSERT(durations.needed("chat", stops_midway::no) ==
+    CPPUNIT_ASSERT(durations.needed("chat", partial_delivery::no) ==
                    milliseconds(100));
-    CPPUNIT_ASSERT(durations.needed("chat", stops_midway::yes) ==
+    CPPUNIT_ASSERT(durations.needed("chat", partial_delivery::yes) ==
                    milliseconds(2600));
     add(durations, 1, 2000);
-    CPPUNIT_ASSERT(durations.needed("chat", stops_midway::yes) ==
+    CPPUNIT_ASSERT(durations.needed("chat", partial_delivery::yes) ==
                    milliseconds(3600));
   }
 
  private:
-  static void add(duration_book& durations, int count, int ms) {
+  static void add(duration_estimator& durations, int count, int ms) {
     for (int i = 0; i < count; ++i) {
       durations.add("chat", milliseconds(ms));
     }
--- a/test/endpoint_choice_load_test.cc
+++ b/test/endpoint_choice_load_test.cc
@@ -119,7 +119,7 @@
 
   void arrive(std::size_t index) {
     turn& made = turns_[index];
-    endpoint_choice criteria;
+    endpoint_criteria criteria;
     criteria.preferred = {made.previous};
     const std::string data_centre =
         std::to_string(made.gateway % data_centre_count);
@@ -219,8 +219,8 @@
 
 choice_policy without_load_spreading() {
   choice_policy made;
-  made.draws_among_equals = false;
-  made.levels_latencies = false;
+  made.breaks_ties_randomly = false;
+  made.ignores_latency_noise = false;
   return made;
 }
 
--- a/test/endpoint_identity_test.cc
+++ b/test/endpoint_identity_test.cc
@@ -32,7 +32,7 @@
 
 endpoint_state_ptr chosen(const endpoint_directory& endpoints,
                           std::uint64_t at_ms = now_ms) {
-  endpoint_choice criteria;
+  endpoint_criteria criteria;
   criteria.service = service;
   return endpoints.choose(criteria, at_ms);
 }
@@ -93,12 +93,12 @@
 
     endpoints.update(instance(second_start, 2), now_ms);
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
-    CPPUNIT_ASSERT(!chosen(endpoints)->health.avoided(now_ms));
+    CPPUNIT_ASSERT(!chosen(endpoints)->health.is_in_backoff(now_ms));
   }
 
   void new_instance_has_nothing_in_flight() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
-    endpoint_directory::begin(*chosen(endpoints), now_ms);
+    endpoint_directory::begin_attempt(*chosen(endpoints), now_ms);
     endpoints.update(instance(second_start, 2), now_ms);
     CPPUNIT_ASSERT_EQUAL(0U, chosen(endpoints)->in_flight);
   }
@@ -147,7 +147,7 @@
   void delayed_removal_of_the_former_instance_has_no_effect() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     endpoints.remove({"a", first_start}, 9);
-    endpoints.lapse({"a", first_start}, 9, {now_ms});
+    endpoints.expire({"a", first_start}, 9, {now_ms});
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, endpoints.unlisted());
   }
@@ -163,30 +163,31 @@
   void delayed_response_of_the_former_instance_has_no_effect() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
     const endpoint_state_ptr former = chosen(endpoints);
-    endpoint_directory::begin(*former, now_ms);
+    endpoint_directory::begin_attempt(*former, now_ms);
     endpoints.update(instance(second_start, 2), now_ms);
-    endpoint_directory::begin(*chosen(endpoints), now_ms);
-    endpoint_directory::end(*former, attempt_outcome::unreachable, 1, now_ms);
+    endpoint_directory::begin_attempt(*chosen(endpoints), now_ms);
+    endpoint_directory::end_attempt(*former, attempt_outcome::unreachable, 1,
+                                    now_ms);
     CPPUNIT_ASSERT_EQUAL(1U, chosen(endpoints)->in_flight);
-    CPPUNIT_ASSERT(!chosen(endpoints)->health.avoided(now_ms));
+    CPPUNIT_ASSERT(!chosen(endpoints)->health.is_in_backoff(now_ms));
   }
 
   void reports_of_the_former_instance_have_no_effect() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     for (const std::uint64_t start : {first_start, std::uint64_t{0}}) {
-      CPPUNIT_ASSERT(!endpoints.supersede({"a", start}));
+      CPPUNIT_ASSERT(!endpoints.mark_superseded({"a", start}));
       for (const char* gateway : {"g1", "g2", "g3", "g4"}) {
         CPPUNIT_ASSERT(
-            !endpoints.report_failure({"a", start}, gateway, now_ms));
+            !endpoints.record_peer_failure({"a", start}, gateway, now_ms));
       }
     }
     CPPUNIT_ASSERT_EQUAL(second_start, chosen_start(endpoints));
-    CPPUNIT_ASSERT(!chosen(endpoints)->health.avoided(now_ms));
+    CPPUNIT_ASSERT(!chosen(endpoints)->health.is_in_backoff(now_ms));
   }
 
   void report_before_the_new_record_applies_to_it() {
     endpoint_directory endpoints = directory_with(instance(first_start, 1));
-    endpoints.supersede({"a", second_start});
+    endpoints.mark_superseded({"a", second_start});
     CPPUNIT_ASSERT_EQUAL(first_start, chosen_start(endpoints));
     endpoints.update(instance(second_start, 2), now_ms);
     CPPUNIT_ASSERT(chosen(endpoints) == nullptr);
@@ -197,7 +198,7 @@
     endpoint other = instance(0, 3);
     other.identity = {"b", first_start};
     endpoints.update(other, now_ms);
-    endpoint_choice criteria;
+    endpoint_criteria criteria;
     criteria.service = service;
     criteria.preferred = {"a", first_start};
     // Without a preference, the request's random number breaks the tie.
@@ -213,7 +214,7 @@
   void request_may_try_the_new_instance_after_the_former() {
     endpoint_directory endpoints = directory_with(instance(second_start, 2));
     const std::set<endpoint_identity> tried{{"a", first_start}};
-    endpoint_choice criteria;
+    endpoint_criteria criteria;
     criteria.service = service;
     criteria.excluded = &tried;
     CPPUNIT_ASSERT(endpoints.choose(criteria, now_ms) != nullptr);
@@ -237,8 +238,8 @@
 
  private:
   static void attempt(endpoint_state& at, attempt_outcome outcome) {
-    endpoint_directory::begin(at, now_ms);
-    endpoint_directory::end(at, outcome, 1, now_ms);
+    endpoint_directory::begin_attempt(at, now_ms);
+    endpoint_directory::end_attempt(at, outcome, 1, now_ms);
   }
 
   // A record or report that a gateway receives.
@@ -280,10 +281,10 @@
         endpoints.remove(received.about.identity, received.about.revision);
         return;
       case message::kind::failure:
-        endpoints.report_failure(received.about.identity, "other", now_ms);
+        endpoints.record_peer_failure(received.about.identity, "other", now_ms);
         return;
       case message::kind::superseded:
-        endpoints.supersede(received.about.identity);
+        endpoints.mark_superseded(received.about.identity);
         return;
     }
   }
--- a/test/contact_rule_test.cc
+++ b/test/isolation_detector_test.cc
@@ -1,9 +1,9 @@
 // Tests the detection of isolation in virtual time. Guards against an isolated
 // gateway that reports that it is ready and so keeps getting requests.
-#include "trayrock/internal/decide/contact_rule.h"
+#include "trayrock/internal/decide/isolation_detector.h"
 
 #include "test_support.h"
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 
 namespace trayrock::testing {
 namespace {
@@ -28,16 +28,16 @@
   void run(std::uint64_t until_ms) {
     for (; now_ < until_ms; now_ += step_ms) {
       if (now_ % turn_period_ms == 0) {
-        detector_.asked(now_);
+        detector_.on_request_sent(now_);
         sent_at_ = now_;
       }
       const bool replied = sent_at_ + reply_delay_ms == now_;
       const bool is_cut =
           now_ >= partition_.cut_at_ms && now_ < partition_.healed_at_ms;
       if (replied && (!is_cut || partition_.peers_reply)) {
-        detector_.heard();
+        detector_.on_reply();
       }
-      if (now_ % contact_rule::tick_period_ms == 0) {
+      if (now_ % isolation_detector::tick_period_ms == 0) {
         detector_.tick(now_);
       }
       record_change();
@@ -50,7 +50,7 @@
 
  private:
   void record_change() {
-    const bool isolated = detector_.cut_off();
+    const bool isolated = detector_.is_isolated();
     changes_ += isolated != was_isolated_ ? 1 : 0;
     if (isolated && first_isolated_ == 0) {
       first_isolated_ = now_;
@@ -62,7 +62,7 @@
   }
 
   partition partition_;
-  contact_rule detector_;
+  isolation_detector detector_;
   std::uint64_t now_ = step_ms;
   std::uint64_t sent_at_ = 0;
   bool was_isolated_ = false;
@@ -107,42 +107,42 @@
   }
 
   void idle_process_is_not_isolated() {
-    contact_rule detector;
+    isolation_detector detector;
     for (std::uint64_t now = 100; now < 60000; now += 100) {
       detector.tick(now);
     }
-    CPPUNIT_ASSERT(!detector.cut_off());
+    CPPUNIT_ASSERT(!detector.is_isolated());
   }
 
   void stalled_process_is_not_isolated() {
-    contact_rule detector;
+    isolation_detector detector;
     detector.tick(1000);
-    detector.asked(1010);
+    detector.on_request_sent(1010);
     detector.tick(7000);
-    CPPUNIT_ASSERT(!detector.cut_off());
+    CPPUNIT_ASSERT(!detector.is_isolated());
     detector.tick(7100);
-    CPPUNIT_ASSERT(!detector.cut_off());
+    CPPUNIT_ASSERT(!detector.is_isolated());
   }
 
   void first_reply_ends_the_isolation() {
-    contact_rule detector;
-    detector.asked(1000);
+    isolation_detector detector;
+    detector.on_request_sent(1000);
     for (std::uint64_t now = 1000; now <= 2000; now += 100) {
       detector.tick(now);
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, detector.cut_off_since_ms());
-    detector.heard();
-    CPPUNIT_ASSERT(!detector.cut_off());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, detector.isolated_since_ms());
+    detector.on_reply();
+    CPPUNIT_ASSERT(!detector.is_isolated());
   }
 
   // The balancer needs two health checks, a second apart, to notice that the
   // gateway is not ready.
   void clients_retry_once_the_balancer_has_noticed() {
-    CPPUNIT_ASSERT(return_time_when_cut_off(milliseconds(0)) ==
+    CPPUNIT_ASSERT(retry_after_when_isolated(milliseconds(0)) ==
                    milliseconds(3000));
-    CPPUNIT_ASSERT(return_time_when_cut_off(milliseconds(2200)) ==
+    CPPUNIT_ASSERT(retry_after_when_isolated(milliseconds(2200)) ==
                    milliseconds(800));
-    CPPUNIT_ASSERT(return_time_when_cut_off(milliseconds(9000)) ==
+    CPPUNIT_ASSERT(retry_after_when_isolated(milliseconds(9000)) ==
                    milliseconds(50));
   }
 };
--- a/test/leaving_endpoint_test.cc
+++ b/test/leaving_endpoint_test.cc
@@ -2,7 +2,7 @@
 // after boxes have had the time to reconnect, because the gateway took its
 // record for an expired one.
 #include "test_support.h"
-#include "trayrock/internal/decide/probe_pace.h"
+#include "trayrock/internal/decide/probe_schedule.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
 
 namespace trayrock::testing {
@@ -24,7 +24,7 @@
 
 // The endpoint that is chosen for a request that prefers the leaving one.
 std::string chosen(const endpoint_directory& endpoints, std::uint64_t now_ms) {
-  endpoint_choice criteria;
+  endpoint_criteria criteria;
   criteria.service = service;
   criteria.preferred = {"leaving"};
   criteria.data_centre = "x";
@@ -58,7 +58,7 @@
       last_failed_call_ms_ = now_ms_;
       now_ms_ += how_ == call_failure::silent ? pace_.wait_ms + pace_.margin_ms
                                               : response_ms;
-      pause_ms = next_pause_ms(pace_, pause_ms);
+      pause_ms = next_backoff_ms(pace_, pause_ms);
       now_ms_ += pause_ms;
     }
     now_ms_ += 2 * response_ms;
@@ -85,7 +85,7 @@
  private:
   call_failure how_;
   std::uint64_t back_ms_;
-  probe_pace pace_;
+  probe_schedule pace_;
   std::uint64_t now_ms_ = 1;
   std::uint64_t last_failed_call_ms_ = 0;
   endpoint_directory endpoints_;
@@ -112,7 +112,7 @@
   void removal_that_looks_like_an_expiry_is_applied_in_time() {
     endpoint_directory endpoints = directory_of_four();
     for (const char* id : {"leaving", "a", "b"}) {
-      endpoints.lapse({id}, 0, {20640, 19105});
+      endpoints.expire({id}, 0, {20640, 19105});
     }
     CPPUNIT_ASSERT(chosen(endpoints, 19105 + reconnect_ms) != "leaving");
   }
--- a/test/lapse_rule_test.cc
+++ b/test/record_expiry_test.cc
@@ -1,9 +1,9 @@
 // Tests how long endpoints whose records are missing remain in use.
-#include "trayrock/internal/decide/lapse_rule.h"
+#include "trayrock/internal/decide/record_expiry.h"
 
 #include "platform/call_round.h"
 #include "test_support.h"
-#include "trayrock/internal/decide/probe_pace.h"
+#include "trayrock/internal/decide/probe_schedule.h"
 
 namespace trayrock::testing {
 namespace {
@@ -16,12 +16,12 @@
 constexpr std::uint64_t registration_ms = 2000;
 
 std::uint64_t after_loss(std::uint64_t unserved_ms) {
-  return kept_until_ms(absence::listed_after_loss, {now_ms, unserved_ms},
-                       reconnect_ms);
+  return kept_until_ms(missing_cause::absent_after_outage,
+                       {now_ms, unserved_ms}, reconnect_ms);
 }
 
 std::uint64_t all_at_once(std::uint64_t unserved_ms) {
-  return kept_until_ms(absence::nearly_all_at_once, {now_ms, unserved_ms},
+  return kept_until_ms(missing_cause::mass_removal, {now_ms, unserved_ms},
                        reconnect_ms);
 }
 
@@ -42,9 +42,9 @@
   // the next one. Guards against endpoints that are dropped before their
   // records are back.
   void expired_endpoints_are_used_until_their_records_are_back() {
-    const probe_pace pace = probe_pace_within(reconnect_ms);
-    const std::uint64_t interval = pace.repeat_ms;
-    CPPUNIT_ASSERT(pace.longest_pause_ms <= interval);
+    const probe_schedule pace = probe_schedule_within(reconnect_ms);
+    const std::uint64_t interval = pace.hedge_interval_ms;
+    CPPUNIT_ASSERT(pace.max_backoff_ms <= interval);
     for (std::uint64_t return_ms = 0; return_ms < interval; ++return_ms) {
       const std::uint64_t failed = now_ms - interval;
       const std::uint64_t until = after_loss(failed);
@@ -68,20 +68,21 @@
   }
 
   void reporting_peer_sets_the_deadline() {
-    answer_times times{now_ms, 0};
-    times.told_until_ms = now_ms + 700;
+    reply_times times{now_ms, 0};
+    times.peer_keeps_until_ms = now_ms + 700;
     CPPUNIT_ASSERT_EQUAL(
         now_ms + 700,
-        kept_until_ms(absence::nearly_all_at_once, times, reconnect_ms));
+        kept_until_ms(missing_cause::mass_removal, times, reconnect_ms));
   }
 
   // A gateway that was partitioned may receive a report of an expiry minutes
   // later.
   void delayed_report_of_an_expiry_has_no_effect() {
-    answer_times times{now_ms, 0};
-    times.told_until_ms = now_ms;
+    reply_times times{now_ms, 0};
+    times.peer_keeps_until_ms = now_ms;
     CPPUNIT_ASSERT_EQUAL(
-        now_ms, kept_until_ms(absence::listed_after_loss, times, reconnect_ms));
+        now_ms,
+        kept_until_ms(missing_cause::absent_after_outage, times, reconnect_ms));
   }
 
   void round_is_settled_by_its_first_reply() {
--- a/test/return_time_test.cc
+++ b/test/retry_after_test.cc
@@ -1,5 +1,5 @@
 // Tests the delays after which rejected clients retry.
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 
 #include <algorithm>
 
@@ -40,14 +40,15 @@
   void client_outlasts_a_platform_outage_of_six_seconds() {
     constexpr int refused_ms = 3500;
     CPPUNIT_ASSERT(attempts_last_ms(milliseconds(500)) < refused_ms);
-    CPPUNIT_ASSERT(attempts_last_ms(return_time_when_unproven()) > refused_ms);
+    CPPUNIT_ASSERT(attempts_last_ms(retry_after_when_config_stale()) >
+                   refused_ms);
   }
 
   void delay_at_limit_is_bounded() {
-    CPPUNIT_ASSERT(return_time_at_limit(milliseconds(0)) == milliseconds(100));
-    CPPUNIT_ASSERT(return_time_at_limit(milliseconds(700)) ==
+    CPPUNIT_ASSERT(retry_after_at_limit(milliseconds(0)) == milliseconds(100));
+    CPPUNIT_ASSERT(retry_after_at_limit(milliseconds(700)) ==
                    milliseconds(700));
-    CPPUNIT_ASSERT(return_time_at_limit(milliseconds(5000)) ==
+    CPPUNIT_ASSERT(retry_after_at_limit(milliseconds(5000)) ==
                    milliseconds(1500));
   }
 
@@ -63,7 +64,7 @@
   }
 
   static void expect(int ms, const drain_view& view) {
-    const milliseconds actual = return_time(view);
+    const milliseconds actual = retry_after_delay(view);
     TRAYROCK_CHECK(actual == milliseconds(ms),
                    "expected " << ms << " ms, got " << actual.count() << " ms");
   }
--- a/test/late_rule_test.cc
+++ b/test/slow_endpoint_detector_test.cc
@@ -1,6 +1,6 @@
 // Tests when requests are moved away from slow endpoints: a single endpoint
 // that hangs, and a service that is slow as a whole.
-#include "trayrock/internal/decide/late_rule.h"
+#include "trayrock/internal/decide/slow_endpoint_detector.h"
 
 #include <random>
 
@@ -36,15 +36,15 @@
 // client gives up after its timeout if the request is not sent again.
 outcome simulate(response_times load, int hang_every) {
   constexpr milliseconds client_timeout{2000};
-  late_rule detector;
+  slow_endpoint_detector detector;
   outcome made;
   for (int i = 1; i <= requests; ++i) {
     const bool hangs = hang_every > 0 && i % hang_every == 0;
     milliseconds wait = hangs ? client_timeout : load.next();
-    const milliseconds timeout = detector.late_after(objective);
+    const milliseconds timeout = detector.first_byte_timeout(objective);
     const bool slow = wait > timeout;
-    detector.answer_began(std::min(wait, timeout));
-    if (slow && detector.leave()) {
+    detector.record_first_byte(std::min(wait, timeout));
+    if (slow && detector.acquire_resend()) {
       ++made.resent;
       wait = timeout + load.next();
     }
@@ -64,11 +64,11 @@
 
  public:
   void fast_service_has_the_objective_as_timeout() {
-    late_rule detector;
+    slow_endpoint_detector detector;
     for (int i = 0; i < 100; ++i) {
-      detector.answer_began(milliseconds(20 + i % 10));
+      detector.record_first_byte(milliseconds(20 + i % 10));
     }
-    CPPUNIT_ASSERT(detector.late_after(objective) == objective);
+    CPPUNIT_ASSERT(detector.first_byte_timeout(objective) == objective);
   }
 
   void requests_to_a_hanging_endpoint_are_sent_again() {
@@ -92,7 +92,8 @@
   }
 
   void initial_timeout_is_a_multiple_of_the_objective() {
-    CPPUNIT_ASSERT(late_rule().late_after(objective) == 3 * objective);
+    CPPUNIT_ASSERT(slow_endpoint_detector().first_byte_timeout(objective) ==
+                   3 * objective);
   }
 };
 
--- a/test/urgency_test.cc
+++ b/test/urgency_test.cc
@@ -2,7 +2,7 @@
 #include "trayrock/internal/decide/urgency.h"
 
 #include "test_support.h"
-#include "trayrock/internal/decide/program_sightings.h"
+#include "trayrock/internal/decide/recent_programs.h"
 
 namespace trayrock::testing {
 namespace {
@@ -61,19 +61,19 @@
   }
 
   void program_is_recent_after_its_last_turn() {
-    program_sightings programs;
-    CPPUNIT_ASSERT(!programs.knows("a", start_ms));
-    programs.note("a", start_ms);
-    programs.note("a", start_ms + 15000);
-    CPPUNIT_ASSERT(programs.knows("a", start_ms + 30000));
-    CPPUNIT_ASSERT(!programs.knows("a", start_ms + 60000));
-    CPPUNIT_ASSERT(!programs.knows("b", start_ms));
+    recent_programs programs;
+    CPPUNIT_ASSERT(!programs.contains("a", start_ms));
+    programs.record("a", start_ms);
+    programs.record("a", start_ms + 15000);
+    CPPUNIT_ASSERT(programs.contains("a", start_ms + 30000));
+    CPPUNIT_ASSERT(!programs.contains("a", start_ms + 60000));
+    CPPUNIT_ASSERT(!programs.contains("b", start_ms));
   }
 
   void old_programs_are_removed() {
-    program_sightings programs;
+    recent_programs programs;
     for (std::uint64_t i = 0; i < 10000; ++i) {
-      programs.note("program-" + std::to_string(i), start_ms + 100 * i);
+      programs.record("program-" + std::to_string(i), start_ms + 100 * i);
     }
     TRAYROCK_CHECK(programs.size() < 300, "actual " << programs.size());
   }
