--- a/include/trayrock/internal/decide/complete_event_buffer.h
+++ b/include/trayrock/internal/decide/complete_event_buffer.h
@@ -10,8 +10,8 @@
 // Example:
 //   complete_event_buffer events;
 //   events.add("id: 1\ndata: a\n\nid: 2\nda");  // "id: 1\ndata: a\n\n"
-//   events.begin_run();                         // discards the incomplete
-//   event events.add("id: 2\ndata: b\n\n");           // "id: 2\ndata: b\n\n"
+//   events.begin_run();                         // discards "id: 2\nda"
+//   events.add("id: 2\ndata: b\n\n");           // "id: 2\ndata: b\n\n"
 //   events.add("id: 2\ndata: c\n\n");           // ""
 //   events.repeated();                          // true
 #pragma once
@@ -40,7 +40,7 @@
   // is missing or not a number; then no run can resume after it.
   std::optional<std::uint64_t> last_id() const { return last_id_; }
 
-  // True after a run repeated an event of an earlier run.
+  // True after a resumed run sent an event without a higher id.
   bool repeated() const { return repeated_; }
 
  private:
--- a/include/trayrock/internal/decide/duration_estimator.h
+++ b/include/trayrock/internal/decide/duration_estimator.h
@@ -5,7 +5,7 @@
 // Example:
 //   duration_estimator durations;
 //   durations.add("chat", milliseconds(240));
-//   if (durations.needed("chat", partial_delivery::yes) > time_left) refuse();
+//   if (durations.needed("chat", partial_delivery::yes) > time_left) reject();
 #pragma once
 
 #include <array>
@@ -35,8 +35,8 @@
 
 class duration_estimator {
  public:
-  explicit duration_estimator(duration_source estimate = by_recent_requests{})
-      : estimate_(estimate) {}
+  explicit duration_estimator(duration_source source = by_recent_requests{})
+      : source_(source) {}
 
   // The estimate for a route with too few samples.
   static constexpr std::chrono::milliseconds unknown{2200};
@@ -48,7 +48,7 @@
 
   // The time that must be left to start a request of the route.
   std::chrono::milliseconds needed(std::string_view route,
-                                   partial_delivery kind) const;
+                                   partial_delivery delivery) const;
 
  private:
   static constexpr std::size_t max_samples = 64;
@@ -61,14 +61,14 @@
 
   std::chrono::milliseconds needed_by(const by_recent_requests&,
                                       std::string_view route,
-                                      partial_delivery kind) const;
+                                      partial_delivery delivery) const;
   static std::chrono::milliseconds needed_by(const by_fixed_time&,
                                              std::string_view,
                                              partial_delivery) {
     return unknown;
   }
 
-  duration_source estimate_;
+  duration_source source_;
   std::map<std::string, samples, std::less<>> routes_;
 };
 
--- a/include/trayrock/internal/decide/endpoint_health.h
+++ b/include/trayrock/internal/decide/endpoint_health.h
@@ -55,7 +55,7 @@
     return in_failure_backoff(now_ms) || refusal_backoff_until_ms_ > now_ms;
   }
 
-  // True after a backoff until the endpoint responds.
+  // True after a backoff until the endpoint responds, for a limited time.
   bool is_on_probation(std::uint64_t now_ms) const;
 
  private:
--- a/include/trayrock/internal/decide/probe_schedule.h
+++ b/include/trayrock/internal/decide/probe_schedule.h
@@ -2,9 +2,9 @@
 // respond. No I/O; times are milliseconds.
 //
 // Example:
-//   probe_schedule pace;
+//   probe_schedule schedule;
 //   std::uint64_t backoff = 0;
-//   backoff = next_backoff_ms(pace, backoff);  // after each failed call
+//   backoff = next_backoff_ms(schedule, backoff);  // after each failed call
 #pragma once
 
 #include <algorithm>
@@ -20,8 +20,7 @@
   // Before the next call; doubled after each consecutive failed call.
   std::uint64_t initial_backoff_ms = 100;
   std::uint64_t max_backoff_ms = 800;
-  // A call without a response is repeated concurrently at this interval; 0:
-  // never.
+  // Repeats a call without a response concurrently, at this interval; 0: never.
   std::uint64_t hedge_interval_ms = 0;
 };
 
@@ -39,10 +38,10 @@
 }
 
 // The backoff after a failed call; `previous_ms` is 0 for the first one.
-inline std::uint64_t next_backoff_ms(const probe_schedule& pace,
+inline std::uint64_t next_backoff_ms(const probe_schedule& schedule,
                                      std::uint64_t previous_ms) {
-  return std::clamp(previous_ms * 2, pace.initial_backoff_ms,
-                    pace.max_backoff_ms);
+  return std::clamp(previous_ms * 2, schedule.initial_backoff_ms,
+                    schedule.max_backoff_ms);
 }
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/record_expiry.h
+++ b/include/trayrock/internal/decide/record_expiry.h
@@ -15,8 +15,7 @@
 //
 // Example:
 //   is_mass_expiry(68, 68);  // true
-//   if (now < kept_until_ms(missing_cause::absent_after_outage, times, 3000))
-//   use_it();
+//   kept_until_ms(missing_cause::mass_removal, times, 3000);
 #pragma once
 
 #include <cstddef>
--- a/include/trayrock/internal/decide/retry_after.h
+++ b/include/trayrock/internal/decide/retry_after.h
@@ -34,12 +34,12 @@
 using retry_after_policy = std::variant<by_balancer, always_immediate>;
 
 std::chrono::milliseconds retry_after_delay(
-    const drain_view& view, retry_after_policy rule = by_balancer{});
+    const drain_view& view, retry_after_policy policy = by_balancer{});
 
 // For a gateway that has been isolated for this long: clients reach another
 // gateway once the balancer has noticed.
 std::chrono::milliseconds retry_after_when_isolated(
-    std::chrono::milliseconds cut_off_for);
+    std::chrono::milliseconds isolated_for);
 
 // For a workspace whose limit is reached; `next` is the time until a permit may
 // be available.
--- a/src/decide/duration_estimator.cc
+++ b/src/decide/duration_estimator.cc
@@ -35,16 +35,16 @@
 }
 
 std::chrono::milliseconds duration_estimator::needed(
-    std::string_view route, partial_delivery kind) const {
-  return std::visit([&](const auto& by) { return needed_by(by, route, kind); },
-                    estimate_);
+    std::string_view route, partial_delivery delivery) const {
+  return std::visit(
+      [&](const auto& by) { return needed_by(by, route, delivery); }, source_);
 }
 
 std::chrono::milliseconds duration_estimator::needed_by(
     const by_recent_requests&, std::string_view route,
-    partial_delivery kind) const {
+    partial_delivery delivery) const {
   const std::chrono::milliseconds estimate = longest(route);
-  if (kind == partial_delivery::no) {
+  if (delivery == partial_delivery::no) {
     return estimate;
   }
   const std::chrono::milliseconds with_margin(
--- a/src/decide/retry_after.cc
+++ b/src/decide/retry_after.cc
@@ -39,12 +39,12 @@
 }  // namespace
 
 milliseconds retry_after_delay(const drain_view& view,
-                               retry_after_policy rule) {
-  return std::visit([&](const auto& by) { return delay_by(by, view); }, rule);
+                               retry_after_policy policy) {
+  return std::visit([&](const auto& by) { return delay_by(by, view); }, policy);
 }
 
-milliseconds retry_after_when_isolated(milliseconds cut_off_for) {
-  return std::max(balancer_notice - cut_off_for, at_once);
+milliseconds retry_after_when_isolated(milliseconds isolated_for) {
+  return std::max(balancer_notice - isolated_for, at_once);
 }
 
 milliseconds retry_after_when_config_stale() { return recovery_delay; }
--- a/test/duration_estimator_test.cc
+++ b/test/duration_estimator_test.cc
@@ -8,8 +8,8 @@
 
 using std::chrono::milliseconds;
 
-class duration_book_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(duration_book_test);
+class duration_estimator_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(duration_estimator_test);
   CPPUNIT_TEST(route_with_few_samples_has_the_default);
   CPPUNIT_TEST(longest_recent_sample_counts);
   CPPUNIT_TEST(old_samples_are_dropped);
@@ -61,7 +61,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(duration_book_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(duration_estimator_test);
 
 }  // namespace
 }  // namespace trayrock::testing
--- a/test/isolation_detector_test.cc
+++ b/test/isolation_detector_test.cc
@@ -71,8 +71,8 @@
   std::uint64_t last_isolated_ = 0;
 };
 
-class contact_rule_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(contact_rule_test);
+class isolation_detector_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(isolation_detector_test);
   CPPUNIT_TEST(isolation_is_detected_within_a_second);
   CPPUNIT_TEST(gateway_with_replying_peers_is_not_isolated);
   CPPUNIT_TEST(short_partition_is_ignored);
@@ -147,7 +147,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(contact_rule_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(isolation_detector_test);
 
 }  // namespace
 }  // namespace trayrock::testing
--- a/test/leaving_endpoint_test.cc
+++ b/test/leaving_endpoint_test.cc
@@ -53,13 +53,14 @@
 
   // Applies the listing that follows the first successful call.
   void list_again() {
-    std::uint64_t pause_ms = 0;
+    std::uint64_t backoff_ms = 0;
     while (now_ms_ < back_ms_) {
       last_failed_call_ms_ = now_ms_;
-      now_ms_ += how_ == call_failure::silent ? pace_.wait_ms + pace_.margin_ms
-                                              : response_ms;
-      pause_ms = next_backoff_ms(pace_, pause_ms);
-      now_ms_ += pause_ms;
+      now_ms_ += how_ == call_failure::silent
+                     ? schedule_.wait_ms + schedule_.margin_ms
+                     : response_ms;
+      backoff_ms = next_backoff_ms(schedule_, backoff_ms);
+      now_ms_ += backoff_ms;
     }
     now_ms_ += 2 * response_ms;
     endpoints_.replace(without_the_leaving_one, true,
@@ -85,7 +86,7 @@
  private:
   call_failure how_;
   std::uint64_t back_ms_;
-  probe_schedule pace_;
+  probe_schedule schedule_;
   std::uint64_t now_ms_ = 1;
   std::uint64_t last_failed_call_ms_ = 0;
   endpoint_directory endpoints_;
--- a/test/record_expiry_test.cc
+++ b/test/record_expiry_test.cc
@@ -15,18 +15,18 @@
 // Expired records are back this long after the platform's return.
 constexpr std::uint64_t registration_ms = 2000;
 
-std::uint64_t after_loss(std::uint64_t unserved_ms) {
+std::uint64_t kept_after_outage(std::uint64_t failed_call_ms) {
   return kept_until_ms(missing_cause::absent_after_outage,
-                       {now_ms, unserved_ms}, reconnect_ms);
+                       {now_ms, failed_call_ms}, reconnect_ms);
 }
 
-std::uint64_t all_at_once(std::uint64_t unserved_ms) {
-  return kept_until_ms(missing_cause::mass_removal, {now_ms, unserved_ms},
+std::uint64_t kept_after_mass_removal(std::uint64_t failed_call_ms) {
+  return kept_until_ms(missing_cause::mass_removal, {now_ms, failed_call_ms},
                        reconnect_ms);
 }
 
-class lapse_rule_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(lapse_rule_test);
+class record_expiry_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(record_expiry_test);
   CPPUNIT_TEST(expired_endpoints_are_used_until_their_records_are_back);
   CPPUNIT_TEST(missing_endpoints_are_dropped_after_an_old_failed_call);
   CPPUNIT_TEST(mass_removal_between_replies_is_an_expiry);
@@ -42,12 +42,12 @@
   // the next one. Guards against endpoints that are dropped before their
   // records are back.
   void expired_endpoints_are_used_until_their_records_are_back() {
-    const probe_schedule pace = probe_schedule_within(reconnect_ms);
-    const std::uint64_t interval = pace.hedge_interval_ms;
-    CPPUNIT_ASSERT(pace.max_backoff_ms <= interval);
+    const probe_schedule schedule = probe_schedule_within(reconnect_ms);
+    const std::uint64_t interval = schedule.hedge_interval_ms;
+    CPPUNIT_ASSERT(schedule.max_backoff_ms <= interval);
     for (std::uint64_t return_ms = 0; return_ms < interval; ++return_ms) {
       const std::uint64_t failed = now_ms - interval;
-      const std::uint64_t until = after_loss(failed);
+      const std::uint64_t until = kept_after_outage(failed);
       TRAYROCK_CHECK(until >= failed + return_ms + registration_ms,
                      "platform returned "
                          << return_ms << " ms after the failed call; "
@@ -57,14 +57,15 @@
   }
 
   void missing_endpoints_are_dropped_after_an_old_failed_call() {
-    CPPUNIT_ASSERT(after_loss(now_ms - reconnect_ms) <= now_ms);
+    CPPUNIT_ASSERT(kept_after_outage(now_ms - reconnect_ms) <= now_ms);
   }
 
   // A watch that was open throughout the outage has no failed call; an old
   // failed call belongs to an earlier outage.
   void mass_removal_between_replies_is_an_expiry() {
-    CPPUNIT_ASSERT(all_at_once(0) >= now_ms + registration_ms);
-    CPPUNIT_ASSERT(all_at_once(now_ms - 60000) >= now_ms + registration_ms);
+    CPPUNIT_ASSERT(kept_after_mass_removal(0) >= now_ms + registration_ms);
+    CPPUNIT_ASSERT(kept_after_mass_removal(now_ms - 60000) >=
+                   now_ms + registration_ms);
   }
 
   void reporting_peer_sets_the_deadline() {
@@ -114,7 +115,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(lapse_rule_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(record_expiry_test);
 
 }  // namespace
 }  // namespace trayrock::testing
--- a/test/relay_selector_test.cc
+++ b/test/relay_selector_test.cc
@@ -11,8 +11,8 @@
 constexpr std::uint64_t start_ms = 10000;
 constexpr std::uint64_t after_all_backoffs_ms = 60000;
 
-class relay_choice_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(relay_choice_test);
+class relay_selector_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(relay_selector_test);
   CPPUNIT_TEST(no_peer_gives_an_empty_address);
   CPPUNIT_TEST(own_entry_is_not_a_peer);
   CPPUNIT_TEST(peer_of_the_same_data_centre_comes_first);
@@ -122,7 +122,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(relay_choice_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(relay_selector_test);
 
 }  // namespace
 }  // namespace trayrock::testing
--- a/test/retry_after_test.cc
+++ b/test/retry_after_test.cc
@@ -10,8 +10,8 @@
 
 using std::chrono::milliseconds;
 
-class return_time_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(return_time_test);
+class retry_after_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(retry_after_test);
   CPPUNIT_TEST(clients_retry_at_once_before_the_balancer_notices);
   CPPUNIT_TEST(clients_retry_at_once_without_new_connections);
   CPPUNIT_TEST(clients_wait_for_a_successor_if_all_gateways_stop);
@@ -70,7 +70,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(return_time_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(retry_after_test);
 
 }  // namespace
 }  // namespace trayrock::testing
--- a/test/slow_endpoint_detector_test.cc
+++ b/test/slow_endpoint_detector_test.cc
@@ -53,8 +53,8 @@
   return made;
 }
 
-class late_rule_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(late_rule_test);
+class slow_endpoint_detector_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(slow_endpoint_detector_test);
   CPPUNIT_TEST(fast_service_has_the_objective_as_timeout);
   CPPUNIT_TEST(requests_to_a_hanging_endpoint_are_sent_again);
   CPPUNIT_TEST(slow_service_gets_few_resends);
@@ -97,7 +97,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(late_rule_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(slow_endpoint_detector_test);
 
 }  // namespace
 }  // namespace trayrock::testing
