--- a/include/trayrock/internal/decide/relay_selector.h
+++ b/include/trayrock/internal/decide/relay_selector.h
@@ -11,7 +11,7 @@
 //   relay_selector relays("gateway-1", "north");
 //   relays.replace({{"gateway-2", "127.0.0.1:7000", "north"}});
 //   const std::string via = relays.pick(now);
-//   relays.record_failure(via, relay_failure::silent, now);
+//   relays.record_failure(via, relay_failure::no_reply, now);
 #pragma once
 
 #include <cstddef>
@@ -29,7 +29,7 @@
 };
 
 enum class relay_failure {
-  silent,            // the peer did not reply
+  no_reply,          // the peer did not reply
   store_unreachable  // the peer got no reply from the store
 };
 
--- a/include/trayrock/internal/decide/slow_endpoint_detector.h
+++ b/include/trayrock/internal/decide/slow_endpoint_detector.h
@@ -33,7 +33,7 @@
 using slow_criterion = std::variant<compared_with_service, objective_only>;
 
 struct slow_endpoint_policy {
-  slow_criterion limit = compared_with_service{};
+  slow_criterion criterion = compared_with_service{};
   bool allows_resend = true;  // false: only reports slow endpoints
 
   bool operator==(const slow_endpoint_policy&) const = default;
--- a/src/decide/slow_endpoint_detector.cc
+++ b/src/decide/slow_endpoint_detector.cc
@@ -39,7 +39,7 @@
 std::chrono::milliseconds slow_endpoint_detector::first_byte_timeout(
     milliseconds min_timeout) const {
   return std::visit([&](const auto& by) { return timeout_by(by, min_timeout); },
-                    policy_.limit);
+                    policy_.criterion);
 }
 
 std::chrono::milliseconds slow_endpoint_detector::timeout_by(
