--- a/test/relay_selector_test.cc
+++ b/test/relay_selector_test.cc
@@ -16,7 +16,7 @@
   CPPUNIT_TEST(no_peer_gives_an_empty_address);
   CPPUNIT_TEST(own_entry_is_not_a_peer);
   CPPUNIT_TEST(peer_of_the_same_data_centre_comes_first);
-  CPPUNIT_TEST(silent_peer_is_in_backoff);
+  CPPUNIT_TEST(peer_without_a_reply_is_in_backoff);
   CPPUNIT_TEST(peer_that_reaches_no_store_is_in_backoff);
   CPPUNIT_TEST(proven_peer_gets_no_backoff_when_a_store_is_down);
   CPPUNIT_TEST(proven_peer_comes_before_a_nearer_one);
@@ -44,7 +44,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("near:1"), relays.pick(start_ms));
   }
 
-  void silent_peer_is_in_backoff() {
+  void peer_without_a_reply_is_in_backoff() {
     relay_selector relays = with_two_peers();
     relays.record_failure("near:1", relay_failure::no_reply, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("far:1"), relays.pick(start_ms));
