--- a/include/trayrock/internal/decide/slow_endpoint_detector.h
+++ b/include/trayrock/internal/decide/slow_endpoint_detector.h
@@ -54,7 +54,7 @@
 
   // Takes one resend from the budget. False: keep waiting for the slow
   // endpoint.
-  bool acquire_resend() { return policy_.allows_resend && budget_.spend(); }
+  bool acquire_resend() { return policy_.allows_resend && budget_.try_spend(); }
 
  private:
   milliseconds timeout_by(const compared_with_service&,
