--- a/include/trayrock/internal/decide/program_book.h
+++ b/include/trayrock/internal/decide/program_book.h
@@ -1,9 +1,8 @@
-// Programs of the owned shards: order, history, budget.
+// State of the programs in the owned shards: turns, budgets, reservations.
 //
-// The book is a fold over records: what is written to the journal is what
-// changes the state, live and when a successor reads it back. Applying a
-// record twice changes nothing more. Decisions take a request and the state
-// and give what to do; they change nothing themselves.
+// Only journal records change the state, both in operation and when a
+// successor replays them. Applying a record twice has no further effect, and
+// deciding on a request doesn't change the state.
 //
 // Example:
 //   program_book book;
@@ -36,40 +35,41 @@
   std::uint64_t used_calls = 0;
   std::uint64_t reserved_tokens = 0;
   std::uint64_t reserved_calls = 0;
-  std::uint64_t context_tokens = 0;   // of the conversation, as counted
-  std::uint64_t attained_tokens = 0;  // service that the program has had
+  std::uint64_t context_tokens = 0;   // length of the conversation
+  std::uint64_t attained_tokens = 0;  // tokens processed for the program
   std::uint64_t recomputed_tokens = 0;
-  std::uint64_t served_ms = 0;  // of all calls; pauses between do not count
+  std::uint64_t served_ms = 0;  // sum over calls, without the time between
   bool ended = false;
-  // Attempts of the next sequence number that were given up: their keys are
-  // used at the runners' nodes, so that the next attempt counts on from here.
+  // The last attempt of the next sequence number, if its call was dropped. The
+  // endpoints' nodes keep the keys of such attempts, so the next call continues
+  // the numbering.
   std::uint32_t dropped_attempts = 0;
 
   std::uint64_t next_sequence() const { return turns.size() + 1; }
   bool in_call() const { return !turns.empty() && !turns.back().settled; }
   const turn* find_key(std::string_view idempotency_key) const;
 
-  // The conversation with the program's model, answers included.
+  // The conversation with the program's model, including its responses.
   std::vector<wire::Message> conversation() const;
 };
 
-// What the configuration says about the call.
+// The settings that apply to a call, from the configuration.
 struct call_terms {
   std::string service;
-  bool conversational = true;  // a call of the program's own model
+  bool conversational = true;  // calls the program's own model
   bool repeatable = true;
   std::uint32_t max_tokens = 0;
 };
 
-// Run it: the intent is complete but for where it goes.
+// Start the call: the intent is complete except for its destination.
 struct start_call {
   wire::CallIntent intent;
 };
-// The same request is running: join it.
+// The same request is already running: wait for its outcome.
 struct join_call {
   std::uint64_t sequence;
 };
-// The same request is done: give the same answer.
+// The same request has completed: return its response again.
 struct replay_call {
   std::uint64_t sequence;
 };
@@ -84,14 +84,14 @@
   // Applies one record; records of unknown programs are ignored.
   void apply(const wire::Record& record);
 
-  // Decides on a call. Changes nothing.
+  // Decides whether a call starts; doesn't change the state.
   call_decision admit(const wire::CallRequest& request, const call_terms& terms,
                       std::uint64_t now_ms) const;
 
-  // Whether a program may be opened; the failure's code is zero if so.
+  // Checks whether a program may be opened; the failure's code is zero if so.
   wire::Failure check_open(const wire::ProgramSpec& spec) const;
 
-  // The program if it is the member's; else the failure.
+  // The program if it belongs to the workspace; else the failure.
   std::variant<const program_state*, wire::Failure> find_for(
       std::string_view program, std::string_view member) const;
 
@@ -102,11 +102,11 @@
   std::vector<std::string> ids() const;
   std::size_t size() const { return programs_.size(); }
 
-  // The program's state as one record.
+  // The program's whole state as one record.
   static wire::Record snapshot(const program_state& program,
                                std::uint32_t shard);
 
-  // Forgets a program (its shard was given away, or it ended long ago).
+  // Removes a program whose shard was handed over or which has ended.
   void forget(std::string_view program);
 
  private:
@@ -115,7 +115,7 @@
   void apply_outcome(const wire::CallOutcome& outcome);
   void apply_snapshot(const wire::ProgramSnapshot& snapshot);
   void reserve(program_state& program, const wire::CallIntent& intent,
-               bool give_back);
+               bool release);
   void charge(program_state& program, std::uint64_t tokens);
   std::vector<program_state*> chargeable(program_state& program);
   wire::Failure check_budget(const program_state& program, std::uint64_t tokens,
--- a/src/decide/program_book.cc
+++ b/src/decide/program_book.cc
@@ -7,15 +7,15 @@
 namespace trayrock {
 namespace {
 
-// A message's frame costs a few tokens on every engine that we know; its
-// bytes bound the rest.
-constexpr std::uint64_t frame_tokens = 8;
+// Upper bound on the tokens that the chat template adds to a message. The
+// content has at most one token a byte.
+constexpr std::uint64_t message_overhead_tokens = 8;
 
-std::uint64_t most_tokens(
+std::uint64_t max_tokens_of(
     const google::protobuf::RepeatedPtrField<wire::Message>& messages) {
   std::uint64_t tokens = 0;
   for (const wire::Message& each : messages) {
-    tokens += frame_tokens + each.content().size();
+    tokens += message_overhead_tokens + each.content().size();
   }
   return tokens;
 }
@@ -33,22 +33,24 @@
   return {make_failure(code, wire::RAN_NO, 0, detail)};
 }
 
-// The messages that a whole-history request adds to the conversation; false
-// when what it starts with is not what is held.
-bool cut_history(const program_state& program, const wire::CallRequest& request,
-                 wire::CallIntent& intent) {
-  const std::vector<wire::Message> held = program.conversation();
+// Adds the new messages of a request that carries the whole history; false
+// when the request doesn't begin with the recorded conversation.
+bool add_new_messages(const program_state& program,
+                      const wire::CallRequest& request,
+                      wire::CallIntent& intent) {
+  const std::vector<wire::Message> recorded = program.conversation();
   const auto& sent = request.messages();
-  if (static_cast<std::size_t>(sent.size()) <= held.size()) {
+  if (static_cast<std::size_t>(sent.size()) <= recorded.size()) {
     return false;
   }
-  for (std::size_t i = 0; i < held.size(); ++i) {
+  for (std::size_t i = 0; i < recorded.size(); ++i) {
     const wire::Message& each = sent[static_cast<int>(i)];
-    if (each.role() != held[i].role() || each.content() != held[i].content()) {
+    if (each.role() != recorded[i].role() ||
+        each.content() != recorded[i].content()) {
       return false;
     }
   }
-  for (int i = static_cast<int>(held.size()); i < sent.size(); ++i) {
+  for (int i = static_cast<int>(recorded.size()); i < sent.size(); ++i) {
     *intent.add_messages() = sent[i];
   }
   return true;
@@ -73,10 +75,10 @@
     }
     made.insert(made.end(), each.intent.messages().begin(),
                 each.intent.messages().end());
-    wire::Message answer;
-    answer.set_role("assistant");
-    answer.set_content(each.outcome.answer());
-    made.push_back(std::move(answer));
+    wire::Message response;
+    response.set_role("assistant");
+    response.set_content(each.outcome.answer());
+    made.push_back(std::move(response));
   }
   return made;
 }
@@ -104,8 +106,8 @@
 }
 
 wire::Failure program_book::check_open(const wire::ProgramSpec& spec) const {
-  const program_state* held = find(spec.id());
-  if (held != nullptr && held->spec.member() != spec.member()) {
+  const program_state* existing = find(spec.id());
+  if (existing != nullptr && existing->spec.member() != spec.member()) {
     return make_failure(errc::wrong_member, wire::RAN_NO);
   }
   if (spec.parent().empty()) {
@@ -127,11 +129,11 @@
 call_decision program_book::admit(const wire::CallRequest& request,
                                   const call_terms& terms,
                                   std::uint64_t now_ms) const {
-  const auto looked_up = find_for(request.program(), request.member());
-  if (const auto* failure = std::get_if<wire::Failure>(&looked_up)) {
+  const auto owned = find_for(request.program(), request.member());
+  if (const auto* failure = std::get_if<wire::Failure>(&owned)) {
     return refuse_call{*failure};
   }
-  const program_state& program = *std::get<const program_state*>(looked_up);
+  const program_state& program = *std::get<const program_state*>(owned);
   wire::CallIntent intent;
   intent.set_program(request.program());
   intent.set_idempotency_key(request.idempotency_key());
@@ -154,15 +156,15 @@
     return refused(errc::program_ended);
   }
   const std::uint64_t next = program.next_sequence();
-  const std::uint64_t asked =
+  const std::uint64_t requested =
       request.sequence() == 0 ? next : request.sequence();
-  if (asked < next) {
-    return asked + 1 == next && program.in_call()
+  if (requested < next) {
+    return requested + 1 == next && program.in_call()
                ? refused(errc::call_in_progress)
                : refused(errc::sequence_in_past,
                          "next is " + std::to_string(next));
   }
-  if (asked > next) {
+  if (requested > next) {
     return refused(errc::sequence_in_future, "next is " + std::to_string(next));
   }
   if (program.in_call()) {
@@ -170,7 +172,7 @@
   }
   if (!request.whole_history()) {
     *intent.mutable_messages() = request.messages();
-  } else if (!cut_history(program, request, intent)) {
+  } else if (!add_new_messages(program, request, intent)) {
     return refused(errc::history_conflict);
   }
   intent.set_sequence(next);
@@ -179,12 +181,12 @@
       terms.conversational ? program.context_tokens : 0;
   intent.set_reserved_tokens(terms.max_tokens == 0
                                  ? 0
-                                 : context + most_tokens(intent.messages()) +
+                                 : context + max_tokens_of(intent.messages()) +
                                        terms.max_tokens);
-  const wire::Failure over =
+  const wire::Failure exceeded =
       check_budget(program, intent.reserved_tokens(), now_ms);
-  if (over.code() != 0) {
-    return refuse_call{over};
+  if (exceeded.code() != 0) {
+    return refuse_call{exceeded};
   }
   return start_call{std::move(intent)};
 }
@@ -258,9 +260,9 @@
 }
 
 void program_book::reserve(program_state& program,
-                           const wire::CallIntent& intent, bool give_back) {
+                           const wire::CallIntent& intent, bool release) {
   for (program_state* each : chargeable(program)) {
-    if (give_back) {
+    if (release) {
       each->reserved_tokens -= intent.reserved_tokens();
       each->reserved_calls -= 1;
     } else {
@@ -287,15 +289,15 @@
     reserve(*program, intent, false);
     return;
   }
-  // Another attempt of the same call: only where it goes changes.
+  // Another attempt of the same call: only its destination changes.
   if (program->in_call() &&
       program->turns.back().intent.sequence() == intent.sequence() &&
       program->turns.back().intent.attempt() < intent.attempt()) {
-    wire::CallIntent& held = program->turns.back().intent;
-    held.set_attempt(intent.attempt());
-    held.set_endpoint(intent.endpoint());
-    held.set_node(intent.node());
-    held.set_node_start(intent.node_start());
+    wire::CallIntent& current = program->turns.back().intent;
+    current.set_attempt(intent.attempt());
+    current.set_endpoint(intent.endpoint());
+    current.set_node(intent.node());
+    current.set_node_start(intent.node_start());
   }
 }
 
@@ -327,8 +329,9 @@
       usage.prompt_tokens() - usage.cached_tokens() + usage.completion_tokens();
   if (open.intent.service() == program->spec.service() &&
       outcome.ran() == wire::RAN_YES) {
-    program->context_tokens =
-        usage.prompt_tokens() + usage.completion_tokens() + frame_tokens;
+    program->context_tokens = usage.prompt_tokens() +
+                              usage.completion_tokens() +
+                              message_overhead_tokens;
   }
 }
 
@@ -349,11 +352,12 @@
     program.served_ms += each.outcome().took_ms();
     if (each.settled() && each.outcome().ran() == wire::RAN_YES &&
         each.intent().service() == program.spec.service()) {
-      program.context_tokens =
-          usage.prompt_tokens() + usage.completion_tokens() + frame_tokens;
+      program.context_tokens = usage.prompt_tokens() +
+                               usage.completion_tokens() +
+                               message_overhead_tokens;
     }
-    // A snapshot's charges hold the sub-programs' part as well; only what is
-    // still reserved comes anew, from each program's own open call.
+    // The tokens used in a snapshot include those of sub-programs. Reservations
+    // are not stored: each program's unsettled call restores its own.
     if (!each.settled()) {
       reserve(program, each.intent(), false);
     }
@@ -387,7 +391,7 @@
       made.push_back(&each);
     }
   }
-  // A parent comes before its sub-programs, which charge it.
+  // A parent precedes its sub-programs: their calls charge its budget.
   std::sort(made.begin(), made.end(),
             [](const program_state* left, const program_state* right) {
               return left->spec.id() < right->spec.id();
