--- a/include/trayrock/internal/decide/declarations.h
+++ b/include/trayrock/internal/decide/declarations.h
@@ -1,16 +1,17 @@
-// What operators declare, read strictly from JSON, and the whole of it.
+// Declarations of operators, parsed strictly from JSON, and the configuration
+// that the accepted ones make up. docs/SETTINGS.md lists every key.
 //
-// A declaration is an object {"kind", "name", "spec"}. Reading one finds the
-// faults within it; check_references() finds those between declarations. A
-// configuration is the accepted whole at one generation; generations only
-// rise. docs/SETTINGS.md lists every key.
+// Generations of the configuration only increase.
 //
 // Example:
 //   fault_list faults;
-//   auto parsed = parse_declarations(text, faults);
-//   configuration whole;
-//   for (auto& each : parsed) whole.put(each, faults);
-//   check_references(whole, faults);
+//   configuration config;
+//   for (const declaration& each : parse_declarations(text, faults)) {
+//     if (const auto spec = read_spec(each, faults)) {
+//       config.put(each.kind, each.name, *spec);
+//     }
+//   }
+//   check_references(config, faults);
 #pragma once
 
 #include <cstdint>
@@ -28,12 +29,12 @@
 
 enum class service_kind { model, plain };
 
-// A target that the burn report judges.
+// A service level objective, evaluated by the burn report.
 struct objective {
   std::string work_class;
-  std::uint64_t program_ms = 0;   // 0: none
+  std::uint64_t program_ms = 0;   // 0: no objective
   double within_share = 0.95;     // share of programs within program_ms
-  double success_share = 0.999;   // share of calls that end well
+  double success_share = 0.999;   // share of calls that succeed
   double recomputed_share = 0.2;  // largest share of wasted prefill
 };
 
@@ -41,15 +42,15 @@
   service_kind kind = service_kind::model;
   bool repeatable = true;
   std::uint64_t wait_limit_ms = 20000;    // longer expected waits are refused
-  std::uint64_t call_timeout_ms = 60000;  // longest silence of a runner
+  std::uint64_t call_timeout_ms = 60000;  // without data from the endpoint
   std::uint64_t retry_percent = 10;       // retries as a share of calls
   std::vector<objective> objectives;
 };
 
 struct endpoint_spec {
   std::string service;
-  std::string node;    // the node in the slot of its box
-  std::string runner;  // the runner's address
+  std::string node;    // the node on the endpoint's box
+  std::string runner;  // address of the endpoint
   std::uint64_t slots = 16;
   std::uint64_t max_queue = 256;
   std::uint64_t prefill_tokens_per_second = 20000;
@@ -58,7 +59,7 @@
   bool leaving = false;
 };
 
-// Limits and class of the programs opened under this name.
+// Limits and class of the programs that are opened under this name.
 struct program_template {
   std::string service;
   std::string work_class = "normal";
@@ -76,11 +77,11 @@
   std::string routing = "balanced";
   std::string order = "attained";
   double cache_weight = 0.5;      // 0: latency alone, 1: wasted cache alone
-  std::uint64_t hold_ms = 30000;  // longest pause that a prefix is held for
+  std::uint64_t hold_ms = 30000;  // longest pause that keeps a cached prefix
 };
 
-// What the platform's box list says of one box; stored by the watchers, so
-// that every process hears of it as it hears of configuration.
+// The state of a box in the platform's list. The processes that watch the
+// platform store it as a declaration, so it spreads like configuration.
 struct box_spec {
   bool leaving = false;
   bool gone = false;
@@ -90,25 +91,25 @@
     std::variant<service_spec, endpoint_spec, program_template, member_spec,
                  policy_spec, box_spec>;
 
-// One declaration as it stands in a file.
+// One declaration as written in a file.
 struct declaration {
   std::string kind;
   std::string name;
   std::string json;  // the whole object, without comments
 };
 
-// Reads a file: one declaration or an array of them.
+// Parses the text of a file: one declaration or an array of them.
 std::vector<declaration> parse_declarations(std::string_view text,
                                             fault_list& faults);
 
 // True for the kinds that operators may declare.
 bool is_declarable(std::string_view kind);
 
-// Reads one declaration's spec; nothing when it has faults.
+// Parses a declaration's spec; nothing if it has faults.
 std::optional<declared_spec> read_spec(const declaration& from,
                                        fault_list& faults);
 
-// The accepted whole.
+// All accepted declarations, at one generation.
 struct configuration {
   std::uint64_t generation = 0;
   std::map<std::string, service_spec, std::less<>> services;
@@ -123,43 +124,44 @@
   void remove(std::string_view kind, std::string_view name);
 };
 
-// Endpoints of undeclared services, programs of undeclared services, and two
-// endpoints with one runner.
-void check_references(const configuration& whole, fault_list& faults);
+// Reports endpoints and programs of undeclared services, and endpoints that
+// share an address.
+void check_references(const configuration& config, fault_list& faults);
 
-// The stored form of the accepted set: every declaration with the generation
-// that it changed in. Rises only; test/config_store_test.cc holds it to that.
+// The accepted declarations, each with the generation that last changed it.
+// The generation never decreases.
 class config_store {
  public:
-  std::uint64_t generation() const { return whole_.generation; }
-  const configuration& whole() const { return whole_; }
+  std::uint64_t generation() const { return current_.generation; }
+  const configuration& whole() const { return current_; }
 
-  // What has changed after `since`, deletions included.
+  // Changes after generation `since`, including deletions.
   wire::ConfigDelta delta(std::uint64_t since) const;
 
-  // Takes a delta that starts at or before the held generation and ends
-  // after it; anything else is ignored. True when something was taken.
+  // Applies a delta that starts at or before the current generation and ends
+  // after it; ignores any other. True if it was applied.
   bool adopt(const wire::ConfigDelta& delta);
 
   const std::map<std::pair<std::string, std::string>, wire::Declaration>& held()
       const {
-    return held_;
+    return declarations_;
   }
 
  private:
-  std::map<std::pair<std::string, std::string>, wire::Declaration> held_;
-  configuration whole_;
+  std::map<std::pair<std::string, std::string>, wire::Declaration>
+      declarations_;
+  configuration current_;
 };
 
-// The outcome of checking changed declarations against the accepted set.
+// The result of checking changed declarations against the accepted ones.
 struct acceptance {
-  wire::Generation generation;  // changes to store; none when empty
-  // Faults by kind and name of each refused declaration.
+  wire::Generation generation;  // changes to store; empty if there are none
+  // Faults of each rejected declaration, by kind and name.
   std::map<std::pair<std::string, std::string>, fault_list> refused;
 };
 
-// Decides which of the stored declarations come into force. A declaration
-// with a fault keeps its accepted form, if it has one; the others go on.
+// Decides which of the stored declarations are accepted. If one has a fault,
+// its previously accepted version stays in effect; the others are accepted.
 acceptance accept_changes(const config_store& accepted,
                           const std::vector<wire::Declaration>& stored);
 
--- a/src/decide/declarations.cc
+++ b/src/decide/declarations.cc
@@ -13,8 +13,8 @@
 constexpr std::uint64_t hour_ms = 3600000;
 constexpr std::uint64_t week_ms = 168 * hour_ms;
 constexpr number_range any_count{0, 1000000000};
-constexpr number_range some_count{1, 1000000000};
-constexpr number_range some_time{1, week_ms};
+constexpr number_range positive_count{1, 1000000000};
+constexpr number_range positive_time_ms{1, week_ms};
 constexpr std::array<std::string_view, 3> work_classes{"urgent", "normal",
                                                        "batch"};
 constexpr std::array<std::string_view, 4> routings{
@@ -43,9 +43,9 @@
                   : service_kind::plain;
   made.repeatable = from.flag_or("repeatable", made.repeatable);
   made.wait_limit_ms =
-      from.number_or("wait_limit_ms", some_time, made.wait_limit_ms);
+      from.number_or("wait_limit_ms", positive_time_ms, made.wait_limit_ms);
   made.call_timeout_ms =
-      from.number_or("call_timeout_ms", some_time, made.call_timeout_ms);
+      from.number_or("call_timeout_ms", positive_time_ms, made.call_timeout_ms);
   made.retry_percent =
       from.number_or("retry_percent", {0, 100}, made.retry_percent);
   if (raw.contains("objectives") && raw["objectives"].is_array()) {
@@ -74,8 +74,9 @@
   }
   made.slots = from.number_or("slots", {1, 100000}, made.slots);
   made.max_queue = from.number_or("max_queue", any_count, made.max_queue);
-  made.prefill_tokens_per_second = from.number_or(
-      "prefill_tokens_per_second", some_count, made.prefill_tokens_per_second);
+  made.prefill_tokens_per_second =
+      from.number_or("prefill_tokens_per_second", positive_count,
+                     made.prefill_tokens_per_second);
   made.cache_tokens =
       from.number_or("cache_tokens", any_count, made.cache_tokens);
   made.checks_fencing = from.flag_or("checks_fencing", made.checks_fencing);
@@ -88,19 +89,20 @@
   made.service = from.text("service");
   made.work_class = from.choice("class", work_classes, made.work_class);
   made.budget_tokens =
-      from.number_or("budget_tokens", some_count, made.budget_tokens);
+      from.number_or("budget_tokens", positive_count, made.budget_tokens);
   made.budget_calls =
-      from.number_or("budget_calls", some_count, made.budget_calls);
+      from.number_or("budget_calls", positive_count, made.budget_calls);
   made.budget_wall_ms =
-      from.number_or("budget_wall_ms", some_time, made.budget_wall_ms);
-  made.deadline_ms = from.number_or("deadline_ms", some_time, made.deadline_ms);
+      from.number_or("budget_wall_ms", positive_time_ms, made.budget_wall_ms);
+  made.deadline_ms =
+      from.number_or("deadline_ms", positive_time_ms, made.deadline_ms);
   return made;
 }
 
 declared_spec read_member(strict_object& from) {
   member_spec made;
   made.max_programs =
-      from.number_or("max_programs", some_count, made.max_programs);
+      from.number_or("max_programs", positive_count, made.max_programs);
   return made;
 }
 
@@ -193,22 +195,24 @@
 
 namespace {
 
-struct spec_putter {
-  configuration& whole;
+struct spec_inserter {
+  configuration& config;
   const std::string& name;
 
   void operator()(const service_spec& spec) const {
-    whole.services[name] = spec;
+    config.services[name] = spec;
   }
   void operator()(const endpoint_spec& spec) const {
-    whole.endpoints[name] = spec;
+    config.endpoints[name] = spec;
   }
   void operator()(const program_template& spec) const {
-    whole.programs[name] = spec;
+    config.programs[name] = spec;
   }
-  void operator()(const member_spec& spec) const { whole.members[name] = spec; }
-  void operator()(const policy_spec& spec) const { whole.policy = spec; }
-  void operator()(const box_spec& spec) const { whole.boxes[name] = spec; }
+  void operator()(const member_spec& spec) const {
+    config.members[name] = spec;
+  }
+  void operator()(const policy_spec& spec) const { config.policy = spec; }
+  void operator()(const box_spec& spec) const { config.boxes[name] = spec; }
 };
 
 template <typename map_type>
@@ -223,7 +227,7 @@
 
 void configuration::put(const std::string&, const std::string& name,
                         const declared_spec& spec) {
-  std::visit(spec_putter{*this, name}, spec);
+  std::visit(spec_inserter{*this, name}, spec);
 }
 
 void configuration::remove(std::string_view kind, std::string_view name) {
@@ -242,23 +246,23 @@
   }
 }
 
-void check_references(const configuration& whole, fault_list& faults) {
+void check_references(const configuration& config, fault_list& faults) {
   std::map<std::string, std::string> runners;
-  for (const auto& [name, each] : whole.endpoints) {
+  for (const auto& [name, each] : config.endpoints) {
     const std::string path = "Endpoint/" + name;
-    if (!whole.services.contains(each.service)) {
+    if (!config.services.contains(each.service)) {
       faults.push_back({errc::declaration_broken_reference, path + "/service",
                         "no Service \"" + each.service + "\""});
     }
-    const auto [other, fresh] = runners.emplace(each.runner, name);
-    if (!fresh) {
+    const auto [other, inserted] = runners.emplace(each.runner, name);
+    if (!inserted) {
       faults.push_back(
           {errc::declaration_broken_reference, path + "/runner",
            "also the runner of Endpoint \"" + other->second + "\""});
     }
   }
-  for (const auto& [name, each] : whole.programs) {
-    if (!whole.services.contains(each.service)) {
+  for (const auto& [name, each] : config.programs) {
+    if (!config.services.contains(each.service)) {
       faults.push_back({errc::declaration_broken_reference,
                         "Program/" + name + "/service",
                         "no Service \"" + each.service + "\""});
@@ -269,8 +273,8 @@
 wire::ConfigDelta config_store::delta(std::uint64_t since) const {
   wire::ConfigDelta made;
   made.set_since(since);
-  made.set_generation(whole_.generation);
-  for (const auto& [key, each] : held_) {
+  made.set_generation(current_.generation);
+  for (const auto& [key, each] : declarations_) {
     if (each.changed_in() > since) {
       *made.add_changes() = each;
     }
@@ -279,56 +283,57 @@
 }
 
 bool config_store::adopt(const wire::ConfigDelta& delta) {
-  if (delta.since() > whole_.generation ||
-      delta.generation() <= whole_.generation) {
+  if (delta.since() > current_.generation ||
+      delta.generation() <= current_.generation) {
     return false;
   }
   for (const wire::Declaration& each : delta.changes()) {
-    held_[{each.kind(), each.name()}] = each;
+    declarations_[{each.kind(), each.name()}] = each;
     if (each.deleted()) {
-      whole_.remove(each.kind(), each.name());
+      current_.remove(each.kind(), each.name());
       continue;
     }
     fault_list ignored;
     const auto spec =
         read_spec({each.kind(), each.name(), each.json()}, ignored);
     if (spec) {
-      whole_.put(each.kind(), each.name(), *spec);
+      current_.put(each.kind(), each.name(), *spec);
     }
   }
-  whole_.generation = delta.generation();
+  current_.generation = delta.generation();
   return true;
 }
 
 namespace {
 
-// Faults of one candidate on top of what is accepted so far.
-fault_list faults_with(const configuration& so_far,
-                       const wire::Declaration& candidate,
-                       configuration& then) {
+// Applies a candidate to a copy of the accepted configuration and gives the
+// faults that result.
+fault_list apply_candidate(const configuration& accepted,
+                           const wire::Declaration& candidate,
+                           configuration& applied) {
   fault_list faults;
-  then = so_far;
+  applied = accepted;
   if (candidate.deleted()) {
-    then.remove(candidate.kind(), candidate.name());
+    applied.remove(candidate.kind(), candidate.name());
   } else {
     const auto spec = read_spec(
         {candidate.kind(), candidate.name(), candidate.json()}, faults);
     if (!spec) {
       return faults;
     }
-    then.put(candidate.kind(), candidate.name(), *spec);
+    applied.put(candidate.kind(), candidate.name(), *spec);
   }
-  check_references(then, faults);
+  check_references(applied, faults);
   return faults;
 }
 
-bool is_news(const config_store& accepted, const wire::Declaration& each) {
-  const auto held = accepted.held().find({each.kind(), each.name()});
-  if (held == accepted.held().end()) {
+bool is_changed(const config_store& accepted, const wire::Declaration& each) {
+  const auto stored = accepted.held().find({each.kind(), each.name()});
+  if (stored == accepted.held().end()) {
     return !each.deleted();
   }
-  return held->second.object_version() < each.object_version() ||
-         (each.deleted() && !held->second.deleted());
+  return stored->second.object_version() < each.object_version() ||
+         (each.deleted() && !stored->second.deleted());
 }
 
 }  // namespace
@@ -337,35 +342,35 @@
                           const std::vector<wire::Declaration>& stored) {
   acceptance made;
   made.generation.set_number(accepted.generation() + 1);
-  configuration so_far = accepted.whole();
-  std::vector<const wire::Declaration*> open;
+  configuration accepted_so_far = accepted.whole();
+  std::vector<const wire::Declaration*> undecided;
   for (const wire::Declaration& each : stored) {
-    if (is_news(accepted, each)) {
-      open.push_back(&each);
+    if (is_changed(accepted, each)) {
+      undecided.push_back(&each);
     }
   }
-  // Declarations may refer to each other in any order: go round until no
-  // further one can be accepted.
+  // Declarations may refer to each other in any order, so repeat until no
+  // further one is accepted.
   bool progress = true;
   while (progress) {
     progress = false;
     made.refused.clear();
-    std::vector<const wire::Declaration*> still_open;
-    for (const wire::Declaration* each : open) {
-      configuration then;
-      fault_list faults = faults_with(so_far, *each, then);
+    std::vector<const wire::Declaration*> rejected;
+    for (const wire::Declaration* each : undecided) {
+      configuration applied;
+      fault_list faults = apply_candidate(accepted_so_far, *each, applied);
       if (!faults.empty()) {
         made.refused[{each->kind(), each->name()}] = std::move(faults);
-        still_open.push_back(each);
+        rejected.push_back(each);
         continue;
       }
-      so_far = std::move(then);
-      wire::Declaration taken = *each;
-      taken.set_changed_in(made.generation.number());
-      *made.generation.add_changes() = std::move(taken);
+      accepted_so_far = std::move(applied);
+      wire::Declaration change = *each;
+      change.set_changed_in(made.generation.number());
+      *made.generation.add_changes() = std::move(change);
       progress = true;
     }
-    open = std::move(still_open);
+    undecided = std::move(rejected);
   }
   return made;
 }
