--- a/include/trayrock/internal/decide/journal_writer.h
+++ b/include/trayrock/internal/decide/journal_writer.h
@@ -1,19 +1,17 @@
-// When a record is durable: the decisions of one journal's writer.
+// The state machine that writes one journal: a sequence of numbered segment
+// objects, each created only if it is absent. It does no I/O: the caller
+// performs the actions and reports their results.
 //
-// A journal is a row of numbered segment objects, each made with
-// create-if-absent. One write is under way at a time and carries all records
-// that wait (group commit). A write whose answer was lost is settled by
-// reading the segment back. A record counts as acknowledged when its segment
-// is stored, or when the copy holder has it: one other node, named in the
-// journal before it is used. A segment that turns out to be a successor's
-// seal ends the journal for good.
-//
-// No I/O and no clock: the caller carries out the actions and reports back.
+// One write is in progress at a time and carries the pending records (group
+// commit). If its result is unknown, the segment is read back. A record is
+// acknowledged once its segment is stored or the copy holder, another node, has
+// it; the journal must name the holder before the holder is used. A segment
+// that holds a successor's seal ends the journal.
 //
 // Example:
 //   journal_writer writer("n1.000-ab", options);
 //   writer.append(record, now);
-//   for (const journal_action& each : writer.poll(now)) carry_out(each);
+//   for (const journal_action& each : writer.poll(now)) perform(each);
 #pragma once
 
 #include <cstdint>
@@ -29,18 +27,18 @@
 namespace trayrock {
 
 struct journal_options {
-  std::uint64_t commit_interval_ms = 0;  // between two writes
+  std::uint64_t commit_interval_ms = 0;  // minimum time between writes
   std::uint64_t copy_after_ms = 0;       // age at which records are copied
-  std::uint64_t retry_pause_ms = 100;    // after an uncertain answer
-  std::size_t segment_bytes = 900000;    // the platform takes 1 MB
+  std::uint64_t retry_delay_ms = 100;    // after an unknown result
+  std::size_t segment_bytes = 900000;    // the platform stores up to 1 MB
 };
 
-// Store these bytes as the segment of this number if it is absent.
+// Create the segment with these bytes if it is absent.
 struct put_segment {
   std::uint64_t number;
   std::string bytes;
 };
-// Read the segment back, to learn whose it is.
+// Read the segment back to find out who wrote it.
 struct read_segment {
   std::uint64_t number;
 };
@@ -49,7 +47,7 @@
   std::string address;
   wire::CopyAppend message;
 };
-// What a former copy holder has is stored: it may drop it.
+// All records that a former copy holder has are stored: it may drop them.
 struct release_copies {
   std::string address;
 };
@@ -57,7 +55,7 @@
 struct acknowledge {
   std::uint64_t up_to;
 };
-// A successor sealed the journal: this process owns nothing any more.
+// A successor sealed the journal: this process no longer owns its shards.
 struct step_down {
   std::string successor;
 };
@@ -73,34 +71,34 @@
 
   const std::string& journal() const { return journal_; }
 
-  // Adds a record and gives its sequence number, from 1.
+  // Adds a record and returns its sequence number; the first is 1.
   std::uint64_t append(wire::Record record, std::uint64_t now_ms);
 
-  // Names another copy holder. Copies stop until the name is stored.
+  // Replaces the copy holder. No copies are sent until its name is stored.
   void name_holder(const wire::CopyHolderNamed& holder, std::uint64_t now_ms);
 
-  // Stops using the holder; a new one must be named. What it has is released
-  // once it is stored.
+  // Stops using the copy holder. Its copies are released once their records
+  // are stored.
   void drop_holder();
-  // True while a former holder may still keep records of this journal.
+  // True while a former holder may still have records of this journal.
   bool has_former_holders() const { return !former_holders_.empty(); }
 
-  // What is to be done now.
+  // The actions that are due.
   journal_actions poll(std::uint64_t now_ms);
 
-  // The answer to a put_segment.
+  // The result of a put_segment.
   journal_actions put_answered(std::uint64_t number, put_outcome outcome,
                                std::uint64_t now_ms);
 
-  // The answer to a read_segment: nothing when it is absent.
+  // The result of a read_segment; nothing if the segment is absent.
   journal_actions read_answered(std::uint64_t number,
                                 const std::optional<wire::Segment>& found,
                                 std::uint64_t now_ms);
 
-  // The read_segment could not be answered; it is tried again.
+  // The read_segment failed; it is retried after a delay.
   void read_failed(std::uint64_t now_ms);
 
-  // The copy holder's answer to a send_copy.
+  // The copy holder has the records up to this sequence number.
   journal_actions copy_answered(std::uint64_t held_up_to);
   void copy_failed(std::uint64_t now_ms);
 
@@ -112,37 +110,37 @@
   std::uint64_t acknowledged() const { return acknowledged_; }
   std::uint64_t stored_up_to() const { return stored_up_to_; }
   std::uint64_t last_sequence() const { return next_sequence_ - 1; }
-  // One past the last segment known to be stored.
+  // Number of segments that are known to be stored.
   std::uint64_t segments() const { return next_segment_; }
   const std::optional<wire::CopyHolderNamed>& holder() const { return holder_; }
-  std::size_t waiting_bytes() const { return waiting_bytes_; }
+  std::size_t waiting_bytes() const { return pending_bytes_; }
 
-  // The records that are not known to be stored, for a successor that asks.
+  // Records not known to be stored, for a successor that requests them.
   std::vector<wire::Record> unstored() const;
 
-  // Stops for good, as if sealed; nothing is acknowledged from here on.
+  // Stops permanently, as if sealed: nothing more is acknowledged.
   void stop() { sealed_ = true; }
 
  private:
-  struct waiting_record {
+  struct pending_record {
     wire::Record record;
     std::size_t bytes;
-    std::uint64_t since_ms;
+    std::uint64_t added_ms;
   };
   enum class write_state { putting, uncertain, reading };
-  struct write_under_way {
+  struct pending_write {
     std::uint64_t number;
     std::string bytes;
     std::uint64_t last_sequence;
     write_state state;
-    std::uint64_t next_try_ms;
+    std::uint64_t retry_at_ms;
   };
 
   void add_write(std::uint64_t now_ms, journal_actions& actions);
   void add_copy(std::uint64_t now_ms, journal_actions& actions);
   void add_trim(journal_actions& actions);
   void add_releases(journal_actions& actions);
-  void stored(journal_actions& actions);
+  void on_stored(journal_actions& actions);
   void raise_acknowledged(std::uint64_t up_to, journal_actions& actions);
   bool holder_is_usable() const;
 
@@ -156,32 +154,32 @@
   std::uint64_t trimmed_up_to_ = 0;
   std::uint64_t next_write_ms_ = 0;
   std::uint64_t next_copy_ms_ = 0;
-  std::size_t waiting_bytes_ = 0;
-  bool copy_under_way_ = false;
+  std::size_t pending_bytes_ = 0;
+  bool copy_in_progress_ = false;
   bool sealed_ = false;
-  std::deque<waiting_record> waiting_;
-  std::optional<write_under_way> write_;
+  std::deque<pending_record> pending_;
+  std::optional<pending_write> write_;
   std::optional<wire::CopyHolderNamed> holder_;
   std::uint64_t holder_named_in_ = 0;
   struct former_holder {
     std::string address;
-    std::uint64_t last_sequence;  // may have records up to this one
+    std::uint64_t last_sequence;  // of the records that it may have
   };
   std::deque<former_holder> former_holders_;
 };
 
-// Reads the records of a journal in order, each sequence number once.
+// Reads the records of a journal in order and skips duplicates.
 class journal_reader {
  public:
-  // Hands on the records that were not seen before.
+  // Returns the records with sequence numbers not read before.
   std::vector<wire::Record> take(const wire::Segment& segment);
   std::vector<wire::Record> take_tail(const std::vector<wire::Record>& records);
 
-  // The last copy holder named in what was read.
+  // The last copy holder named in the records that were read.
   const std::optional<wire::CopyHolderNamed>& holder() const { return holder_; }
 
  private:
-  std::uint64_t seen_up_to_ = 0;
+  std::uint64_t read_up_to_ = 0;
   std::optional<wire::CopyHolderNamed> holder_;
 };
 
--- a/src/decide/journal_writer.cc
+++ b/src/decide/journal_writer.cc
@@ -12,8 +12,8 @@
   const std::uint64_t sequence = next_sequence_++;
   record.set_sequence(sequence);
   const std::size_t bytes = record.ByteSizeLong();
-  waiting_bytes_ += bytes;
-  waiting_.push_back({std::move(record), bytes, now_ms});
+  pending_bytes_ += bytes;
+  pending_.push_back({std::move(record), bytes, now_ms});
   return sequence;
 }
 
@@ -24,7 +24,7 @@
   *record.mutable_copy_holder() = holder;
   holder_ = holder;
   holder_named_in_ = append(std::move(record), now_ms);
-  copy_under_way_ = false;
+  copy_in_progress_ = false;
 }
 
 void journal_writer::drop_holder() {
@@ -32,7 +32,7 @@
     former_holders_.push_back({holder_->address(), last_sequence()});
   }
   holder_.reset();
-  copy_under_way_ = false;
+  copy_in_progress_ = false;
 }
 
 bool journal_writer::holder_is_usable() const {
@@ -53,20 +53,20 @@
 void journal_writer::add_write(std::uint64_t now_ms, journal_actions& actions) {
   if (write_.has_value()) {
     if (write_->state == write_state::uncertain &&
-        now_ms >= write_->next_try_ms) {
+        now_ms >= write_->retry_at_ms) {
       write_->state = write_state::reading;
       actions.emplace_back(read_segment{write_->number});
     }
     return;
   }
-  if (waiting_.empty() || now_ms < next_write_ms_) {
+  if (pending_.empty() || now_ms < next_write_ms_) {
     return;
   }
   wire::Segment segment;
   segment.set_writer(journal_);
   segment.set_number(next_segment_);
   std::size_t bytes = 0;
-  for (const waiting_record& each : waiting_) {
+  for (const pending_record& each : pending_) {
     if (bytes > 0 && bytes + each.bytes > options_.segment_bytes) {
       break;
     }
@@ -75,25 +75,25 @@
   }
   const std::uint64_t last =
       segment.records(segment.records_size() - 1).sequence();
-  write_ = write_under_way{next_segment_, segment.SerializeAsString(), last,
-                           write_state::putting, 0};
+  write_ = pending_write{next_segment_, segment.SerializeAsString(), last,
+                         write_state::putting, 0};
   next_write_ms_ = now_ms + options_.commit_interval_ms;
   actions.emplace_back(put_segment{write_->number, write_->bytes});
 }
 
 void journal_writer::add_copy(std::uint64_t now_ms, journal_actions& actions) {
-  if (!holder_is_usable() || copy_under_way_ || now_ms < next_copy_ms_) {
+  if (!holder_is_usable() || copy_in_progress_ || now_ms < next_copy_ms_) {
     return;
   }
-  if (waiting_.empty()) {
+  if (pending_.empty()) {
     add_trim(actions);
     return;
   }
-  const std::uint64_t held = std::max(copied_up_to_, stored_up_to_);
-  const std::uint64_t first = waiting_.front().record.sequence();
-  const std::size_t skipped = held < first ? 0 : held - first + 1;
-  if (skipped >= waiting_.size() ||
-      now_ms < waiting_[skipped].since_ms + options_.copy_after_ms) {
+  const std::uint64_t copied = std::max(copied_up_to_, stored_up_to_);
+  const std::uint64_t first = pending_.front().record.sequence();
+  const std::size_t skipped = copied < first ? 0 : copied - first + 1;
+  if (skipped >= pending_.size() ||
+      now_ms < pending_[skipped].added_ms + options_.copy_after_ms) {
     return;
   }
   send_copy action;
@@ -102,18 +102,18 @@
   action.message.set_holder_start(holder_->start());
   action.message.set_durable_before(stored_up_to_ + 1);
   std::size_t bytes = 0;
-  for (std::size_t i = skipped; i < waiting_.size(); ++i) {
-    if (bytes > 0 && bytes + waiting_[i].bytes > options_.segment_bytes) {
+  for (std::size_t i = skipped; i < pending_.size(); ++i) {
+    if (bytes > 0 && bytes + pending_[i].bytes > options_.segment_bytes) {
       break;
     }
-    bytes += waiting_[i].bytes;
-    *action.message.add_records() = waiting_[i].record;
+    bytes += pending_[i].bytes;
+    *action.message.add_records() = pending_[i].record;
   }
-  copy_under_way_ = true;
+  copy_in_progress_ = true;
   actions.emplace_back(std::move(action));
 }
 
-// Lets the holder drop what is stored, once nothing more waits.
+// Lets the holder drop records that are stored, once none are pending.
 void journal_writer::add_trim(journal_actions& actions) {
   if (copied_up_to_ <= trimmed_up_to_ || stored_up_to_ < copied_up_to_) {
     return;
@@ -124,7 +124,7 @@
   action.message.set_journal(journal_);
   action.message.set_holder_start(holder_->start());
   action.message.set_durable_before(stored_up_to_ + 1);
-  copy_under_way_ = true;
+  copy_in_progress_ = true;
   actions.emplace_back(std::move(action));
 }
 
@@ -132,7 +132,7 @@
   while (!former_holders_.empty() &&
          former_holders_.front().last_sequence <= stored_up_to_) {
     const std::string& address = former_holders_.front().address;
-    // Named again, it is in use.
+    // A former holder that was named again is in use.
     if (!holder_.has_value() || holder_->address() != address) {
       actions.emplace_back(release_copies{address});
     }
@@ -148,14 +148,14 @@
     return actions;
   }
   if (outcome == put_outcome::stored) {
-    stored(actions);
+    on_stored(actions);
     return actions;
   }
-  // The segment exists, or may: only reading it tells whose it is.
+  // The segment exists or may exist; reading it back shows who wrote it.
   write_->state = write_state::uncertain;
-  write_->next_try_ms = outcome == put_outcome::exists
+  write_->retry_at_ms = outcome == put_outcome::exists
                             ? now_ms
-                            : now_ms + options_.retry_pause_ms;
+                            : now_ms + options_.retry_delay_ms;
   return actions;
 }
 
@@ -167,14 +167,14 @@
     return actions;
   }
   if (!found.has_value()) {
-    // Not there (yet): the same bytes again, since the first try may still
-    // arrive and must then be the same segment.
+    // Retry with the same bytes: the first write may still arrive and must not
+    // differ from this one.
     write_->state = write_state::putting;
     actions.emplace_back(put_segment{write_->number, write_->bytes});
     return actions;
   }
   if (found->writer() == journal_ && !found->has_seal()) {
-    stored(actions);
+    on_stored(actions);
     return actions;
   }
   sealed_ = true;
@@ -186,25 +186,25 @@
 void journal_writer::read_failed(std::uint64_t now_ms) {
   if (write_.has_value() && write_->state == write_state::reading) {
     write_->state = write_state::uncertain;
-    write_->next_try_ms = now_ms + options_.retry_pause_ms;
+    write_->retry_at_ms = now_ms + options_.retry_delay_ms;
   }
 }
 
-void journal_writer::stored(journal_actions& actions) {
+void journal_writer::on_stored(journal_actions& actions) {
   stored_up_to_ = write_->last_sequence;
   next_segment_ = write_->number + 1;
   write_.reset();
-  while (!waiting_.empty() &&
-         waiting_.front().record.sequence() <= stored_up_to_) {
-    waiting_bytes_ -= waiting_.front().bytes;
-    waiting_.pop_front();
+  while (!pending_.empty() &&
+         pending_.front().record.sequence() <= stored_up_to_) {
+    pending_bytes_ -= pending_.front().bytes;
+    pending_.pop_front();
   }
   raise_acknowledged(stored_up_to_, actions);
 }
 
 journal_actions journal_writer::copy_answered(std::uint64_t held_up_to) {
   journal_actions actions;
-  copy_under_way_ = false;
+  copy_in_progress_ = false;
   if (sealed_ || !holder_is_usable()) {
     return actions;
   }
@@ -214,8 +214,8 @@
 }
 
 void journal_writer::copy_failed(std::uint64_t now_ms) {
-  copy_under_way_ = false;
-  next_copy_ms_ = now_ms + options_.retry_pause_ms;
+  copy_in_progress_ = false;
+  next_copy_ms_ = now_ms + options_.retry_delay_ms;
 }
 
 void journal_writer::raise_acknowledged(std::uint64_t up_to,
@@ -228,7 +228,7 @@
 
 std::vector<wire::Record> journal_writer::unstored() const {
   std::vector<wire::Record> made;
-  for (const waiting_record& each : waiting_) {
+  for (const pending_record& each : pending_) {
     made.push_back(each.record);
   }
   return made;
@@ -240,18 +240,18 @@
 
 std::vector<wire::Record> journal_reader::take_tail(
     const std::vector<wire::Record>& records) {
-  std::vector<wire::Record> fresh;
+  std::vector<wire::Record> unread;
   for (const wire::Record& each : records) {
-    if (each.sequence() <= seen_up_to_) {
+    if (each.sequence() <= read_up_to_) {
       continue;
     }
-    seen_up_to_ = each.sequence();
+    read_up_to_ = each.sequence();
     if (each.has_copy_holder()) {
       holder_ = each.copy_holder();
     }
-    fresh.push_back(each);
+    unread.push_back(each);
   }
-  return fresh;
+  return unread;
 }
 
 }  // namespace trayrock
--- a/test/ownership_model_test.cc
+++ b/test/ownership_model_test.cc
@@ -100,7 +100,7 @@
   static journal_options options() {
     journal_options made;
     made.copy_after_ms = 1;
-    made.retry_pause_ms = 1;
+    made.retry_delay_ms = 1;
     return made;
   }
 
