--- a/include/trayrock/internal/decide/copy_keeper.h
+++ b/include/trayrock/internal/decide/copy_keeper.h
@@ -1,9 +1,9 @@
-// The copy holder's side: records of other nodes' journals, in memory.
+// In-memory copies of journal records, kept by a copy holder for other nodes.
 //
-// Holds each record until its owner says that it is stored, or until a
-// successor that claimed the tail has it in its own journal. A claim is a
-// promise: nothing more is taken from that owner, so that a paused one which
-// wakes cannot have a record acknowledged that no successor will read.
+// A record is kept until its owner reports it stored, or until the successor
+// that claimed the journal's tail has stored it. A claim seals the journal
+// here: no further records are accepted, or else a paused owner that resumes
+// could have a record acknowledged that no successor reads.
 #pragma once
 
 #include <cstdint>
@@ -19,25 +19,26 @@
 
 class copy_keeper {
  public:
-  // `start` is the holder's own start; messages meant for another are
-  // refused. `limit_bytes` bounds what all owners together may leave here.
+  // `start` identifies this run of the process; messages for another run are
+  // rejected. `limit_bytes` bounds the records of all journals together.
   copy_keeper(std::string start, std::size_t limit_bytes);
 
-  // Takes records. Failures: errc::wrong_start, errc::journal_sealed after a
+  // Stores records. Failures: errc::wrong_start, errc::journal_sealed after a
   // claim, errc::copy_space_full.
   wire::CopyAck append(const wire::CopyAppend& message);
 
-  // Gives a successor the tail, with the promise; again for a later one.
+  // Seals the journal and returns its tail; may be repeated, also by a later
+  // successor.
   wire::CopyTail claim(const wire::CopyClaim& message);
 
-  // The successor has stored the tail: drops it, keeps the promise.
+  // Drops the tail once the successor has stored it; the journal stays sealed.
   void release(const std::string& journal);
 
-  // Journals that something is held for.
+  // Journals that have records here.
   std::vector<std::string> journal_names() const;
 
   std::size_t bytes() const { return bytes_; }
-  std::size_t journals() const { return held_.size(); }
+  std::size_t journals() const { return tails_.size(); }
 
  private:
   struct tail {
@@ -50,8 +51,8 @@
   std::string start_;
   std::size_t limit_bytes_;
   std::size_t bytes_ = 0;
-  std::map<std::string, tail, std::less<>> held_;
-  std::set<std::string, std::less<>> promised_;
+  std::map<std::string, tail, std::less<>> tails_;
+  std::set<std::string, std::less<>> sealed_;
 };
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/tail_step.h
+++ b/include/trayrock/internal/decide/tail_step.h
@@ -1,30 +1,31 @@
-// Where a successor gets the records that were acknowledged and not stored.
+// How a successor recovers the tail of a journal: records that were
+// acknowledged but not stored.
 //
-// The copy holder has them. Being out of reach is not being gone: a paused
-// owner may hold records that were acknowledged and never stored. Only when
-// the holder's start is gone does the successor ask the old owner, and only
-// when that start is gone as well does it go on without.
+// The copy holder has the tail. The successor requests it from the old owner
+// only if the holder's process has stopped, and continues without it only if
+// the owner's has stopped too. A process that is merely unreachable may be
+// paused and still have acknowledged records.
 #pragma once
 
 namespace trayrock {
 
-// What asking a process for the tail gave.
+// The result of requesting the tail from a process.
 enum class tail_answer { not_asked, unreachable, other_start, given };
 
 struct tail_view {
-  bool holder_named = false;     // in what was read of the journal
-  bool holder_box_gone = false;  // by the platform's box list
+  bool holder_named = false;     // in the segments that were read
+  bool holder_box_gone = false;  // from the platform's list of boxes
   tail_answer holder = tail_answer::not_asked;
-  bool owner_gone = false;  // its box is gone, or it runs under a new start
+  bool owner_gone = false;  // its box was removed, or it restarted
   tail_answer owner = tail_answer::not_asked;
 };
 
 enum class tail_step {
   nothing_needed,  // no copies were ever made
-  ask_holder,      // (again)
-  ask_owner,       // (again)
-  take_tail,       // what was given is all there is
-  go_on_without,   // both are gone; what was not stored is lost
+  ask_holder,      // repeated while it is unreachable
+  ask_owner,       // repeated while it is unreachable
+  take_tail,       // the received tail is complete
+  go_on_without,   // both stopped: records that were not stored are lost
 };
 
 inline tail_step next_tail_step(const tail_view& view) {
--- a/src/decide/copy_keeper.cc
+++ b/src/decide/copy_keeper.cc
@@ -22,16 +22,16 @@
     refuse(*ack.mutable_failure(), errc::wrong_start);
     return ack;
   }
-  if (promised_.contains(message.journal())) {
+  if (sealed_.contains(message.journal())) {
     refuse(*ack.mutable_failure(), errc::journal_sealed);
     return ack;
   }
-  tail& held = held_[message.journal()];
-  drop_before(held, message.durable_before());
+  tail& current = tails_[message.journal()];
+  drop_before(current, message.durable_before());
   for (const wire::Record& each : message.records()) {
-    const bool known = !held.records.empty() &&
-                       each.sequence() <= held.records.back().sequence();
-    if (known || each.sequence() < message.durable_before()) {
+    const bool duplicate = !current.records.empty() &&
+                           each.sequence() <= current.records.back().sequence();
+    if (duplicate || each.sequence() < message.durable_before()) {
       continue;
     }
     const std::size_t bytes = each.ByteSizeLong();
@@ -39,45 +39,46 @@
       refuse(*ack.mutable_failure(), errc::copy_space_full);
       break;
     }
-    held.records.push_back(each);
-    held.bytes += bytes;
+    current.records.push_back(each);
+    current.bytes += bytes;
     bytes_ += bytes;
   }
-  ack.set_held_up_to(held.records.empty() ? message.durable_before() - 1
-                                          : held.records.back().sequence());
-  ack.set_held_bytes(held.bytes);
+  ack.set_held_up_to(current.records.empty()
+                         ? message.durable_before() - 1
+                         : current.records.back().sequence());
+  ack.set_held_bytes(current.bytes);
   return ack;
 }
 
 wire::CopyTail copy_keeper::claim(const wire::CopyClaim& message) {
-  wire::CopyTail answer;
+  wire::CopyTail reply;
   if (message.holder_start() != start_) {
-    answer.set_other_start(true);
-    return answer;
+    reply.set_other_start(true);
+    return reply;
   }
-  promised_.insert(message.journal());
-  const auto found = held_.find(message.journal());
-  if (found != held_.end()) {
+  sealed_.insert(message.journal());
+  const auto found = tails_.find(message.journal());
+  if (found != tails_.end()) {
     for (const wire::Record& each : found->second.records) {
-      *answer.add_records() = each;
+      *reply.add_records() = each;
     }
   }
-  return answer;
+  return reply;
 }
 
 std::vector<std::string> copy_keeper::journal_names() const {
   std::vector<std::string> names;
-  for (const auto& [name, each] : held_) {
+  for (const auto& [name, each] : tails_) {
     names.push_back(name);
   }
   return names;
 }
 
 void copy_keeper::release(const std::string& journal) {
-  const auto found = held_.find(journal);
-  if (found != held_.end()) {
+  const auto found = tails_.find(journal);
+  if (found != tails_.end()) {
     bytes_ -= found->second.bytes;
-    held_.erase(found);
+    tails_.erase(found);
   }
 }
 
