--- a/include/trayrock/internal/decide/shard_map.h
+++ b/include/trayrock/internal/decide/shard_map.h
@@ -1,7 +1,7 @@
-// Which node owns which shard, by version; versions only rise.
+// The versioned assignment of shards to nodes. Versions only increase.
 //
-// A program's id hashes to its shard by the part before the first dot, so
-// that sub-programs live with the program that they share a budget with.
+// A program's shard is the hash of its id up to the first dot, so that
+// sub-programs share the shard of the program whose budget they use.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 namespace trayrock {
 
-// The part of a program's id that its sub-programs share.
+// The part of a program's id that it shares with its sub-programs.
 std::string_view root_of(std::string_view program);
 
-// The shard of a program; `shards` is fixed for a deployment.
+// The shard of a program. `shards` never changes within a deployment.
 std::uint32_t shard_of(std::string_view program, std::uint32_t shards);
 
 class shard_map_store {
@@ -26,17 +26,16 @@
   std::uint64_t version() const { return version_; }
   std::uint32_t shards() const { return shards_; }
 
-  // The owner's entry; null while no map is known.
+  // The shard's entry; null before the first map was adopted.
   const wire::ShardEntry* find(std::uint32_t shard) const;
 
-  // What has changed after `since`.
+  // Entries that changed after version `since`.
   wire::ShardMap delta(std::uint64_t since) const;
 
-  // Takes a newer map or part of one; an older one is ignored. True when
-  // something was taken.
+  // Adopts a newer map or delta; ignores an older one. True if it was adopted.
   bool adopt(const wire::ShardMap& newer);
 
-  // Shards held by a journal.
+  // Shards whose owner writes this journal.
   std::vector<std::uint32_t> owned_by(std::string_view journal) const;
 
   const std::map<std::uint32_t, wire::ShardEntry>& entries() const {
@@ -49,44 +48,48 @@
   std::map<std::uint32_t, wire::ShardEntry> entries_;
 };
 
-// A new owner of shards, as the map names it.
+// The owner of a shard, as recorded in the map.
 struct shard_owner {
   std::string node;
   std::string journal;
   std::string address;
 };
 
-// Changes to a stored map. Each gives the next version, or the same version
-// when there is nothing to change (somebody else did it already).
+// The functions below return the changed map with the next version, or with the
+// same version if nothing is to change (another process made the change).
+
+// The first map of a deployment, in which one node owns all shards.
 wire::ShardMap first_map(std::uint32_t shards, const shard_owner& owner);
 
-// Moves every shard of a sealed journal. `end_segment` is the seal's number.
+// Reassigns all shards of a sealed journal. `end_segment` is the number of the
+// segment with the seal.
 wire::ShardMap with_sealed_moved(const wire::ShardMap& stored,
                                  const std::string& sealed_journal,
                                  std::uint64_t end_segment,
                                  const shard_owner& to);
 
-// Segments of a journal, the last one excluded.
+// Segments of a journal; `end` is one past the last.
 struct segment_range {
   std::uint64_t first;
   std::uint64_t end;
 };
 
-// Who gets which shard by agreement.
+// The new owner of each shard that is handed over.
 using shard_receivers = std::map<std::uint32_t, shard_owner>;
 
-// Moves shards by agreement; their whole state stands in these segments.
+// Reassigns shards that their owner hands over. The segments hold the complete
+// state of these shards.
 wire::ShardMap with_handed_over(const wire::ShardMap& stored,
                                 const std::string& from_journal,
                                 const shard_receivers& receivers,
-                                segment_range where);
+                                segment_range segments);
 
-// Drops the sources of shards whose state is in the owner's own journal.
+// Removes the sources of shards whose state is now in the owner's own journal.
 wire::ShardMap with_sources_read(const wire::ShardMap& stored,
                                  const std::string& journal,
                                  const std::set<std::uint32_t>& shards);
 
-// Journals that the map still needs, as owner or as source.
+// Journals that the map refers to, as an owner's journal or as a source.
 std::set<std::string> journals_in_use(const wire::ShardMap& stored);
 
 }  // namespace trayrock
--- a/src/decide/shard_map.cc
+++ b/src/decide/shard_map.cc
@@ -15,17 +15,17 @@
 }
 
 void add_source(wire::ShardEntry& entry, const std::string& journal,
-                segment_range where, bool sealed) {
+                segment_range segments, bool sealed) {
   wire::JournalRange* source = entry.add_sources();
   source->set_journal(journal);
-  source->set_first_segment(where.first);
-  source->set_end_segment(where.end);
+  source->set_first_segment(segments.first);
+  source->set_end_segment(segments.end);
   source->set_sealed(sealed);
 }
 
-// Raises the version if any entry was stamped with the next one.
-wire::ShardMap finish(wire::ShardMap changed, bool any) {
-  if (any) {
+// Increases the version if any entry was changed.
+wire::ShardMap with_next_version(wire::ShardMap changed, bool any_changed) {
+  if (any_changed) {
     changed.set_version(changed.version() + 1);
   }
   return changed;
@@ -66,9 +66,9 @@
   version_ = newer.version();
   shards_ = newer.shards();
   for (const wire::ShardEntry& each : newer.entries()) {
-    wire::ShardEntry& held = entries_[each.shard()];
-    if (each.changed_in() >= held.changed_in()) {
-      held = each;
+    wire::ShardEntry& current = entries_[each.shard()];
+    if (each.changed_in() >= current.changed_in()) {
+      current = each;
     }
   }
   return true;
@@ -93,7 +93,7 @@
     entry->set_shard(shard);
     set_owner(*entry, owner, 1);
   }
-  return finish(std::move(made), true);
+  return with_next_version(std::move(made), true);
 }
 
 wire::ShardMap with_sealed_moved(const wire::ShardMap& stored,
@@ -101,53 +101,53 @@
                                  std::uint64_t end_segment,
                                  const shard_owner& to) {
   wire::ShardMap changed = stored;
-  bool any = false;
+  bool any_changed = false;
   for (wire::ShardEntry& entry : *changed.mutable_entries()) {
     if (entry.journal() != sealed_journal) {
       continue;
     }
     add_source(entry, sealed_journal, {0, end_segment}, true);
     set_owner(entry, to, stored.version() + 1);
-    any = true;
+    any_changed = true;
   }
-  return finish(std::move(changed), any);
+  return with_next_version(std::move(changed), any_changed);
 }
 
 wire::ShardMap with_handed_over(const wire::ShardMap& stored,
                                 const std::string& from_journal,
                                 const shard_receivers& receivers,
-                                segment_range where) {
+                                segment_range segments) {
   wire::ShardMap changed = stored;
-  bool any = false;
+  bool any_changed = false;
   for (wire::ShardEntry& entry : *changed.mutable_entries()) {
     const auto receiver = receivers.find(entry.shard());
     if (receiver == receivers.end() || entry.journal() != from_journal) {
       continue;
     }
     entry.clear_sources();
-    add_source(entry, from_journal, where, false);
+    add_source(entry, from_journal, segments, false);
     set_owner(entry, receiver->second, stored.version() + 1);
-    any = true;
+    any_changed = true;
   }
-  return finish(std::move(changed), any);
+  return with_next_version(std::move(changed), any_changed);
 }
 
 wire::ShardMap with_sources_read(const wire::ShardMap& stored,
                                  const std::string& journal,
                                  const std::set<std::uint32_t>& shards) {
   wire::ShardMap changed = stored;
-  bool any = false;
+  bool any_changed = false;
   for (wire::ShardEntry& entry : *changed.mutable_entries()) {
-    const bool mine =
+    const bool selected =
         entry.journal() == journal && shards.contains(entry.shard());
-    if (!mine || entry.sources_size() == 0) {
+    if (!selected || entry.sources_size() == 0) {
       continue;
     }
     entry.clear_sources();
     entry.set_changed_in(stored.version() + 1);
-    any = true;
+    any_changed = true;
   }
-  return finish(std::move(changed), any);
+  return with_next_version(std::move(changed), any_changed);
 }
 
 std::set<std::string> journals_in_use(const wire::ShardMap& stored) {
