--- a/include/trayrock/internal/decide/membership.h
+++ b/include/trayrock/internal/decide/membership.h
@@ -1,10 +1,11 @@
-// Who is up, as one process sees it, and who watches whom.
+// Gossip membership and failure detection, as seen by one process.
 //
-// Each process has a beat that it raises; news of beats travels by the spread
-// messages. A process that has made no progress for too long is taken as
-// gone by its watchers, and the others hear it from them. "Gone" is a
-// judgement at a beat: a higher beat takes it back. Nothing here is a lease:
-// ownership is decided by the journal's seal alone.
+// Each process increments its own heartbeat counter; counters spread by gossip.
+// If a node's counter doesn't increase in time, the nodes that watch it mark it
+// as gone, and gossip spreads the mark until a higher counter clears it.
+//
+// A mark is no proof that a node has stopped: ownership of shards is decided by
+// the seal of the journal alone.
 #pragma once
 
 #include <cstdint>
@@ -20,63 +21,64 @@
 
 struct member_view {
   wire::Peer peer;
-  std::uint64_t progress_ms = 0;  // when the beat was last seen to rise
+  std::uint64_t progress_ms = 0;  // when the heartbeat counter last increased
 };
 
 class membership {
  public:
-  // `self` is this process's own entry; its name keeps others from changing
-  // what it says of itself.
+  // `self` is this process's own entry. Updates from peers never change it.
   explicit membership(wire::Peer self);
 
   wire::Peer& self() { return self_; }
   const wire::Peer& self() const { return self_; }
 
-  // Takes news of another process. True when the process was not known, has
-  // a new start, or came back.
-  bool hear(const wire::Peer& news, std::uint64_t now_ms);
+  // Applies a received entry of another process. True if the process is new,
+  // has restarted, was marked as gone, or is no longer marked.
+  bool hear(const wire::Peer& update, std::uint64_t now_ms);
 
-  // Marks as gone those of the watched that made no progress. Gives the
-  // processes that were newly marked. After a pause of this process itself
-  // the others get a new chance first.
+  // Marks watched nodes as gone if their heartbeat has not increased in time,
+  // and returns those newly marked. If this process itself was paused, it
+  // marks none and restarts the time limits.
   std::vector<wire::Peer> judge(std::uint64_t now_ms,
                                 std::uint64_t suspect_after_ms);
 
-  // Everybody known and not gone, without this process.
+  // All processes not marked as gone, except this one.
   std::vector<const member_view*> others() const;
 
-  // Nodes (not entries) that are not gone, with this one; sorted by name.
+  // Names of the nodes not marked as gone, this one included, without entries;
+  // sorted.
   std::vector<std::string> live_nodes() const;
 
   const member_view* find(std::string_view node) const;
 
-  // The processes that this one watches: it is among their next two nodes on
-  // the ring of names.
+  // The nodes that this one watches: it is one of the two nodes after them on
+  // the hash ring.
   std::vector<std::string> watched() const;
 
-  // This process's place among a node's watchers: 0 first, 1 second; nothing
-  // when it is none.
+  // This process's position among a node's watchers, from 0; nothing if it
+  // doesn't watch the node.
   std::optional<std::size_t> watch_rank(std::string_view node) const;
 
-  // True when this node is one of the two of its place that watch the
-  // platform's configuration for the others.
+  // True if this node is one of the two in its data centre that watch the
+  // platform's configuration on behalf of the rest.
   bool is_config_watcher() const;
 
-  // Up to `count` entries to pass on: fresh news first, then in turn.
+  // Up to `count` entries to send: recent changes first, then round robin.
   std::vector<wire::Peer> news(std::size_t count);
 
  private:
-  struct ring_place {
+  struct ring_position {
     std::uint64_t hash;
     std::string node;
   };
-  std::vector<ring_place> ring_with(std::string_view extra) const;
+  // The hash ring of the live nodes, except one.
+  std::vector<ring_position> ring_without(std::string_view excluded) const;
 
   wire::Peer self_;
   std::map<std::string, member_view, std::less<>> members_;
-  std::vector<std::string> fresh_;
-  std::string turn_;
-  std::uint64_t judged_ms_ = 0;
+  std::vector<std::string> changed_;
+  std::string last_sent_;
+  std::uint64_t checked_ms_ = 0;
 };
 
 }  // namespace trayrock
--- a/src/decide/membership.cc
+++ b/src/decide/membership.cc
@@ -7,8 +7,8 @@
 namespace trayrock {
 namespace {
 
-constexpr std::size_t watchers_a_node = 2;
-constexpr std::size_t config_watchers_a_place = 2;
+constexpr std::size_t watchers_per_node = 2;
+constexpr std::size_t config_watchers_per_data_centre = 2;
 
 std::uint64_t hash_of(std::string_view text) {
   return XXH64(text.data(), text.size(), 0);
@@ -18,35 +18,36 @@
 
 membership::membership(wire::Peer self) : self_(std::move(self)) {}
 
-bool membership::hear(const wire::Peer& news, std::uint64_t now_ms) {
-  if (news.node().empty() || news.node() == self_.node()) {
+bool membership::hear(const wire::Peer& update, std::uint64_t now_ms) {
+  if (update.node().empty() || update.node() == self_.node()) {
     return false;
   }
-  const auto [place, unknown] = members_.try_emplace(news.node());
-  member_view& held = place->second;
-  const bool restarted = !unknown && held.peer.start() != news.start();
-  if (restarted && news.gone()) {
+  const auto [position, added] = members_.try_emplace(update.node());
+  member_view& known = position->second;
+  const bool restarted = !added && known.peer.start() != update.start();
+  if (restarted && update.gone()) {
     return false;
   }
-  // A start carries the time it was made in front, so that the later of two
-  // starts compares higher.
-  if (restarted && news.start() < held.peer.start()) {
+  // Start identifiers begin with the time of the start, so that the later one
+  // compares greater.
+  if (restarted && update.start() < known.peer.start()) {
     return false;
   }
-  const bool rises = unknown || restarted || news.beat() > held.peer.beat();
-  const bool judged_gone = !unknown && !restarted && news.gone() &&
-                           !held.peer.gone() && news.beat() >= held.peer.beat();
-  if (!rises && !judged_gone) {
+  const bool advanced = added || restarted || update.beat() > known.peer.beat();
+  const bool marked_gone = !added && !restarted && update.gone() &&
+                           !known.peer.gone() &&
+                           update.beat() >= known.peer.beat();
+  if (!advanced && !marked_gone) {
     return false;
   }
-  const bool came_back = held.peer.gone() && !news.gone();
-  held.peer = news;
-  if (rises && !news.gone()) {
-    held.progress_ms = now_ms;
+  const bool came_back = known.peer.gone() && !update.gone();
+  known.peer = update;
+  if (advanced && !update.gone()) {
+    known.progress_ms = now_ms;
   }
-  const bool notable = unknown || restarted || came_back || judged_gone;
+  const bool notable = added || restarted || came_back || marked_gone;
   if (notable) {
-    fresh_.push_back(news.node());
+    changed_.push_back(update.node());
   }
   return notable;
 }
@@ -54,8 +55,8 @@
 std::vector<wire::Peer> membership::judge(std::uint64_t now_ms,
                                           std::uint64_t suspect_after_ms) {
   const bool was_paused =
-      judged_ms_ != 0 && now_ms - judged_ms_ > suspect_after_ms / 2;
-  judged_ms_ = now_ms;
+      checked_ms_ != 0 && now_ms - checked_ms_ > suspect_after_ms / 2;
+  checked_ms_ = now_ms;
   std::vector<wire::Peer> newly_gone;
   if (was_paused) {
     for (auto& [name, each] : members_) {
@@ -67,7 +68,7 @@
     member_view& each = members_.find(name)->second;
     if (each.progress_ms + suspect_after_ms < now_ms) {
       each.peer.set_gone(true);
-      fresh_.push_back(name);
+      changed_.push_back(name);
       newly_gone.push_back(each.peer);
     }
   }
@@ -103,30 +104,30 @@
   return found == members_.end() ? nullptr : &found->second;
 }
 
-std::vector<membership::ring_place> membership::ring_with(
-    std::string_view extra) const {
-  std::vector<ring_place> ring;
+std::vector<membership::ring_position> membership::ring_without(
+    std::string_view excluded) const {
+  std::vector<ring_position> ring;
   for (std::string& each : live_nodes()) {
-    if (each != extra) {
+    if (each != excluded) {
       ring.push_back({hash_of(each), std::move(each)});
     }
   }
   std::sort(ring.begin(), ring.end(),
-            [](const ring_place& left, const ring_place& right) {
+            [](const ring_position& left, const ring_position& right) {
               return left.hash < right.hash;
             });
   return ring;
 }
 
 std::optional<std::size_t> membership::watch_rank(std::string_view node) const {
-  const std::vector<ring_place> ring = ring_with(node);
+  const std::vector<ring_position> ring = ring_without(node);
   const auto next =
       std::upper_bound(ring.begin(), ring.end(), hash_of(node),
-                       [](std::uint64_t hash, const ring_place& each) {
+                       [](std::uint64_t hash, const ring_position& each) {
                          return hash < each.hash;
                        });
   const auto first = static_cast<std::size_t>(next - ring.begin());
-  for (std::size_t rank = 0; rank < std::min(watchers_a_node, ring.size());
+  for (std::size_t rank = 0; rank < std::min(watchers_per_node, ring.size());
        ++rank) {
     if (ring[(first + rank) % ring.size()].node == self_.node()) {
       return rank;
@@ -140,10 +141,10 @@
   if (self_.entry()) {
     return made;
   }
-  const std::vector<ring_place> ring = ring_with("");
+  const std::vector<ring_position> ring = ring_without("");
   const std::size_t size = ring.size();
   for (std::size_t i = 0; i < size; ++i) {
-    for (std::size_t step = 1; step <= watchers_a_node; ++step) {
+    for (std::size_t step = 1; step <= watchers_per_node; ++step) {
       const bool mine = ring[(i + step) % size].node == self_.node();
       if (mine && ring[i].node != self_.node()) {
         made.push_back(ring[i].node);
@@ -159,34 +160,34 @@
     return false;
   }
   const std::uint64_t own = hash_of(self_.node());
-  std::size_t before = 0;
+  std::size_t earlier = 0;
   for (const auto& [name, each] : members_) {
-    const bool same_place = each.peer.place() == self_.place();
-    if (same_place && !each.peer.gone() && !each.peer.entry() &&
+    const bool same_data_centre = each.peer.place() == self_.place();
+    if (same_data_centre && !each.peer.gone() && !each.peer.entry() &&
         hash_of(name) < own) {
-      ++before;
+      ++earlier;
     }
   }
-  return before < config_watchers_a_place;
+  return earlier < config_watchers_per_data_centre;
 }
 
 std::vector<wire::Peer> membership::news(std::size_t count) {
   std::vector<wire::Peer> made;
-  while (!fresh_.empty() && made.size() < count / 2) {
-    const auto found = members_.find(fresh_.back());
-    fresh_.pop_back();
+  while (!changed_.empty() && made.size() < count / 2) {
+    const auto found = members_.find(changed_.back());
+    changed_.pop_back();
     if (found != members_.end()) {
       made.push_back(found->second.peer);
     }
   }
-  auto next = members_.upper_bound(turn_);
-  const std::size_t most = std::min(count, members_.size());
-  while (made.size() < most) {
+  auto next = members_.upper_bound(last_sent_);
+  const std::size_t limit = std::min(count, members_.size());
+  while (made.size() < limit) {
     if (next == members_.end()) {
       next = members_.begin();
     }
     made.push_back(next->second.peer);
-    turn_ = next->first;
+    last_sent_ = next->first;
     ++next;
   }
   return made;
