--- a/include/trayrock/internal/decide/request_table.h
+++ b/include/trayrock/internal/decide/request_table.h
@@ -1,9 +1,9 @@
-// At most once at the runner's node: every request by its key.
+// Deduplicates the requests at an endpoint's node, so that each runs at most
+// once.
 //
-// unseen -> running -> done or failed; a refused request leaves a tombstone,
-// so that a late copy of it can never run after "not run" was said. The table
-// belongs to one start of the node; a request meant for another start is
-// refused, since that one's table is gone.
+// A rejected request leaves a tombstone: a delayed duplicate must never run
+// after "not run" was reported. The table is lost when the node restarts, so
+// requests for another run of the node are rejected.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   std::uint64_t sequence = 0;
   std::uint32_t attempt = 0;
 
-  // clang-tidy takes the compared zero for a pointer.
+  // clang-tidy mistakes the zero of the comparison for a pointer.
   auto operator<=>(const request_key&) const = default;  // NOLINT
 };
 
@@ -33,7 +33,7 @@
 struct request_entry {
   request_state state = request_state::running;
   bool repeatable = true;
-  std::vector<std::string> chunks;  // of a stream, for those who attach
+  std::vector<std::string> chunks;  // of a stream, for requests that attach
   wire::ExecuteDone done;
   wire::Failure failure;
   std::uint64_t changed_ms = 0;
@@ -42,17 +42,17 @@
 enum class table_verdict {
   run,
   attach,
-  refuse_start,  // meant for another start of this node
+  refuse_start,  // meant for another run of this node
   refuse_term,   // a newer owner of the shard is known
-  refuse_past,   // the program has gone on: a late copy
+  refuse_past,   // the program has made a later call: a delayed duplicate
 };
 
 class request_table {
  public:
   explicit request_table(std::string start) : start_(std::move(start)) {}
 
-  // What to do with a request; a first sight enters it as running, or as a
-  // tombstone if it may only attach. Raises the highest term of its shard.
+  // Decides on a request. A new one is added as running, or as a tombstone if
+  // it may only attach. Records the term of its shard.
   table_verdict arrive(const wire::ExecuteRequest& request,
                        std::uint64_t now_ms);
 
@@ -62,37 +62,36 @@
               std::uint64_t now_ms);
   void fail(const request_key& key, wire::Failure failure,
             std::uint64_t now_ms);
-  // Says "not run" for good.
+  // Leaves a tombstone: the request never runs.
   void refuse(const request_key& key, wire::Failure failure,
               std::uint64_t now_ms);
 
-  // The program has ended: nothing of it runs here any more.
+  // Rejects all further requests of a program that has ended.
   void close_program(const std::string& program, std::uint64_t now_ms);
 
-  // Drops settled entries of repeatable calls that last changed before the
-  // given time, and what is left of programs untouched since `closed_ms`.
-  // A call that may not be repeated stays until its program goes on, since
-  // "unseen" would wrongly say that it never ran.
+  // Removes settled entries that last changed before `before_ms`, or before
+  // `closed_ms` if the call must not be repeated: without its entry it would be
+  // reported as not run. Also removes programs unused since `closed_ms`.
   void expire(std::uint64_t before_ms, std::uint64_t closed_ms);
 
-  // Highest owner's term seen for a shard.
+  // Highest term received from an owner of the shard.
   std::uint64_t term(std::uint32_t shard) const;
-  // False when a newer owner is known; raises the term otherwise.
+  // Records the term; false if a newer owner is known.
   bool accept_term(std::uint32_t shard, std::uint64_t term);
 
   std::size_t size() const { return entries_.size(); }
 
  private:
-  struct floor {
-    std::uint64_t sequence = 0;  // lower ones are settled at the owner
-    std::uint64_t touched_ms = 0;
+  struct sequence_floor {
+    std::uint64_t sequence = 0;  // earlier calls are settled at the owner
+    std::uint64_t used_ms = 0;
   };
   void raise_floor(const std::string& program, std::uint64_t sequence,
                    std::uint64_t now_ms);
 
   std::string start_;
   std::map<request_key, request_entry> entries_;
-  std::map<std::string, floor> floors_;
+  std::map<std::string, sequence_floor> floors_;
   std::map<std::uint32_t, std::uint64_t> terms_;
 };
 
--- a/src/decide/request_table.cc
+++ b/src/decide/request_table.cc
@@ -17,20 +17,20 @@
   if (!accept_term(request.shard(), request.term())) {
     return table_verdict::refuse_term;
   }
-  const auto held = floors_.find(request.program());
-  if (held != floors_.end() && request.sequence() < held->second.sequence) {
+  const auto floor = floors_.find(request.program());
+  if (floor != floors_.end() && request.sequence() < floor->second.sequence) {
     return table_verdict::refuse_past;
   }
   raise_floor(request.program(), request.sequence(), now_ms);
-  const auto [place, unseen] = entries_.try_emplace(key_of(request));
-  if (!unseen) {
+  const auto [entry, added] = entries_.try_emplace(key_of(request));
+  if (!added) {
     return table_verdict::attach;
   }
-  place->second.changed_ms = now_ms;
-  place->second.repeatable = request.repeatable();
+  entry->second.changed_ms = now_ms;
+  entry->second.repeatable = request.repeatable();
   if (request.attach_only()) {
-    place->second.state = request_state::tombstone;
-    place->second.failure = make_failure(errc::runner_failed, wire::RAN_NO);
+    entry->second.state = request_state::tombstone;
+    entry->second.failure = make_failure(errc::runner_failed, wire::RAN_NO);
     return table_verdict::attach;
   }
   return table_verdict::run;
@@ -68,12 +68,12 @@
 
 void request_table::raise_floor(const std::string& program,
                                 std::uint64_t sequence, std::uint64_t now_ms) {
-  floor& held = floors_[program];
-  held.touched_ms = now_ms;
-  if (sequence <= held.sequence) {
+  sequence_floor& floor = floors_[program];
+  floor.used_ms = now_ms;
+  if (sequence <= floor.sequence) {
     return;
   }
-  held.sequence = sequence;
+  floor.sequence = sequence;
   auto each = entries_.lower_bound({program, 0, 0});
   while (each != entries_.end() && each->first.program == program &&
          each->first.sequence < sequence) {
@@ -94,7 +94,7 @@
            entry.changed_ms < (entry.repeatable ? before_ms : closed_ms);
   });
   std::erase_if(floors_, [closed_ms](const auto& each) {
-    return each.second.touched_ms < closed_ms;
+    return each.second.used_ms < closed_ms;
   });
 }
 
