--- a/include/trayrock/internal/decide/runner_queue.h
+++ b/include/trayrock/internal/decide/runner_queue.h
@@ -1,9 +1,9 @@
-// The queue of one runner, at its node: what starts next, what is refused.
+// The request queue of one endpoint, at its node, with admission control.
 //
-// Orders: by arrival, or by the service that the whole program has had so far
-// (least first), with ageing so that nobody starves. Urgent work comes before
-// normal work, batch work takes the gaps. A request that cannot start within
-// its wait limit is refused at once, with the wait that is expected.
+// Requests start in order of arrival or of least attained service, with ageing
+// to prevent starvation; the latter also favours urgent over normal and normal
+// over batch work. A request that isn't expected to start within its wait limit
+// is rejected immediately.
 #pragma once
 
 #include <cstdint>
@@ -24,9 +24,9 @@
 // First come, first served.
 struct arrival_order {};
 
-// Least service attained by the whole program first.
+// Least attained service of the whole program first.
 struct attained_order {
-  // Tokens of attained service that one millisecond of waiting outweighs.
+  // Tokens of attained service that a millisecond of waiting makes up for.
   double ageing_tokens_per_ms = 4.0;
 };
 using queue_order = std::variant<arrival_order, attained_order>;
@@ -40,7 +40,7 @@
 };
 
 struct queue_refusal {
-  bool full = false;  // else: the expected wait exceeds the limit
+  bool full = false;  // otherwise the expected wait exceeds the limit
   std::uint64_t expected_wait_ms = 0;
 };
 
@@ -51,31 +51,31 @@
   void set_limits(queue_limits limits) { limits_ = limits; }
   void set_order(queue_order order) { order_ = order; }
 
-  // Takes a request, or says why not.
+  // Adds a request, or returns why it is rejected.
   std::optional<queue_refusal> offer(queued_request request);
 
   // The next request to start, if a slot is free; it then counts as running.
   std::optional<queued_request> start_next(std::uint64_t now_ms);
 
-  // A running request ended after so long.
+  // A running request finished.
   void ended(std::uint64_t took_ms);
 
-  // Takes a request that has not started out of the queue.
+  // Removes a request that has not started; false if there is none.
   bool remove(const request_key& key);
 
-  // Wait that a request arriving now has to expect, by what calls took.
+  // Expected wait of a request that arrives now, from the average duration.
   std::uint64_t expected_wait_ms() const;
 
   std::size_t running() const { return running_; }
   std::size_t queued() const { return queue_.size(); }
-  double typical_ms() const { return typical_ms_; }
+  double average_ms() const { return average_ms_; }
 
  private:
   queue_limits limits_;
   queue_order order_;
   std::vector<queued_request> queue_;
   std::size_t running_ = 0;
-  double typical_ms_ = 0;  // moving average of what a call takes
+  double average_ms_ = 0;  // moving average of a call's duration
 };
 
 }  // namespace trayrock
--- a/src/decide/runner_queue.cc
+++ b/src/decide/runner_queue.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double average_weight = 0.1;
-// A class comes first by so many tokens of attained service.
+// Offsets of a class from normal work, in tokens of attained service.
 constexpr double urgent_lead_tokens = 50000;
 constexpr double batch_lag_tokens = 1000000;
 
@@ -17,7 +17,7 @@
   return work_class == "batch" ? batch_lag_tokens : 0;
 }
 
-// Lower starts earlier.
+// The request with the lowest value starts first.
 struct urgency {
   const queued_request& request;
   std::uint64_t now_ms;
@@ -60,18 +60,18 @@
         return std::visit(urgency{left, now_ms}, order_) <
                std::visit(urgency{right, now_ms}, order_);
       });
-  queued_request taken = std::move(*next);
+  queued_request started = std::move(*next);
   queue_.erase(next);
   ++running_;
-  return taken;
+  return started;
 }
 
 void runner_queue::ended(std::uint64_t took_ms) {
   running_ -= running_ > 0 ? 1 : 0;
   const auto took = static_cast<double>(took_ms);
-  typical_ms_ = typical_ms_ == 0
+  average_ms_ = average_ms_ == 0
                     ? took
-                    : typical_ms_ + average_weight * (took - typical_ms_);
+                    : average_ms_ + average_weight * (took - average_ms_);
 }
 
 bool runner_queue::remove(const request_key& key) {
@@ -87,7 +87,7 @@
   }
   const auto rounds = static_cast<double>(ahead - limits_.slots + 1) /
                       static_cast<double>(limits_.slots);
-  return static_cast<std::uint64_t>(rounds * typical_ms_);
+  return static_cast<std::uint64_t>(rounds * average_ms_);
 }
 
 }  // namespace trayrock
