--- a/include/trayrock/internal/decide/balance.h
+++ b/include/trayrock/internal/decide/balance.h
@@ -1,7 +1,7 @@
-// Which of the own shards go to which node, so that all have a fair part.
+// Plans which of a node's own shards move to other nodes to balance the load.
 //
-// One plan serves many receivers at once: with one receiver at a time, a
-// first start or a lost place would take as many steps as there are nodes.
+// One plan covers all receivers, so that a first start or the loss of a data
+// centre is balanced in one step.
 #pragma once
 
 #include <cstddef>
@@ -12,12 +12,12 @@
 
 namespace trayrock {
 
-// Shards owned by each node that may own shards; leaving nodes are absent.
+// Number of shards by owner. Nodes that are leaving are absent.
 using owned_counts = std::map<std::string, std::size_t>;
 
-// Gives the receiver of each shard that should move. A node that is absent
-// from `owned` is leaving: it gives all away. Nodes within one shard of the
-// fair part are left alone.
+// Returns the receiver of each shard that should move. If `self` is absent from
+// `owned` it is leaving, and all its shards move. Differences of one shard
+// between nodes are not balanced.
 std::map<std::uint32_t, std::string> plan_balance(
     const std::string& self, const std::set<std::uint32_t>& served,
     owned_counts owned, std::size_t all_shards);
--- a/include/trayrock/internal/decide/burn_windows.h
+++ b/include/trayrock/internal/decide/burn_windows.h
@@ -1,7 +1,5 @@
-// What service levels are judged by: counts of the last hour, by the minute.
-//
-// A node counts for each service and class; trayrockctl adds the nodes up and
-// holds the sums against the declared objectives. Time is an argument.
+// Counters of the last hour, per minute, by service and class. trayrockctl adds
+// up those of all nodes and compares them with the service level objectives.
 //
 // Example:
 //   burn_windows windows;
@@ -19,19 +17,19 @@
 
 enum class burn_count {
   programs,       // ended
-  late_programs,  // beyond their objective's time
-  calls,          // settled or given up
-  failed_calls,   // given up or unknown
+  late_programs,  // took longer than their objective
+  calls,          // settled or abandoned
+  failed_calls,   // abandoned or with unknown outcome
   prompt_tokens,
   recomputed_tokens,
-  queue_ms,  // waited at runners' nodes
-  refusals,  // given up as not run
+  queue_ms,  // time in the queues of endpoints
+  refusals,  // abandoned without having run
   retries,
   unknown,
 };
 constexpr std::size_t burn_counts = 10;
 
-// The count's name in JSON.
+// The counter's name in JSON.
 std::string_view name_of(burn_count what);
 
 struct burn_key {
@@ -47,11 +45,12 @@
   void add(const burn_key& key, burn_count what, double amount,
            std::uint64_t now_ms);
 
-  // Of the last so many minutes, the running one included.
+  // The sum over the last minutes, including the current one.
   double sum(const burn_key& key, burn_count what, std::uint64_t last_minutes,
              std::uint64_t now_ms) const;
 
-  // Every key with one list a count, oldest minute first.
+  // All counters as JSON: for each key, a list of values per counter, oldest
+  // minute first.
   std::string json(std::uint64_t now_ms) const;
 
  private:
--- a/include/trayrock/internal/decide/declarations.h
+++ b/include/trayrock/internal/decide/declarations.h
@@ -76,7 +76,7 @@
 struct policy_spec {
   std::string routing = "balanced";
   std::string order = "attained";
-  double cache_weight = 0.5;      // 0: latency alone, 1: wasted cache alone
+  double cache_weight = 0.5;      // 0: latency alone, 1: cache use alone
   std::uint64_t hold_ms = 30000;  // longest pause that keeps a cached prefix
 };
 
--- a/include/trayrock/internal/decide/membership.h
+++ b/include/trayrock/internal/decide/membership.h
@@ -26,13 +26,13 @@
 
 class membership {
  public:
-  // `self` is this process's own entry. Updates from peers never change it.
+  // `self` is this process's own state. Updates from peers never change it.
   explicit membership(wire::Peer self);
 
   wire::Peer& self() { return self_; }
   const wire::Peer& self() const { return self_; }
 
-  // Applies a received entry of another process. True if the process is new,
+  // Applies a received state of another process. True if the process is new,
   // has restarted, was marked as gone, or is no longer marked.
   bool hear(const wire::Peer& update, std::uint64_t now_ms);
 
@@ -45,8 +45,8 @@
   // All processes not marked as gone, except this one.
   std::vector<const member_view*> others() const;
 
-  // Names of the nodes not marked as gone, this one included, without entries;
-  // sorted.
+  // Sorted names of the nodes not marked as gone, this one included. Entry
+  // processes are not listed.
   std::vector<std::string> live_nodes() const;
 
   const member_view* find(std::string_view node) const;
@@ -63,7 +63,8 @@
   // platform's configuration on behalf of the rest.
   bool is_config_watcher() const;
 
-  // Up to `count` entries to send: recent changes first, then round robin.
+  // States of up to `count` processes to send: recent changes first, then round
+  // robin.
   std::vector<wire::Peer> news(std::size_t count);
 
  private:
--- a/include/trayrock/internal/decide/retry_budget.h
+++ b/include/trayrock/internal/decide/retry_budget.h
@@ -1,7 +1,5 @@
-// A bound on retries that reach a service: a share of its calls.
-//
-// Each call earns a part of a retry; each retry spends a whole one. A small
-// reserve lets the first failures of a quiet service be retried.
+// A retry budget: limits the retries that a service receives to a share of its
+// calls. A small reserve allows retries while there are few calls.
 #pragma once
 
 #include <algorithm>
@@ -11,31 +9,32 @@
 
 class retry_budget {
  public:
-  // `percent` of the calls may be retried; `reserve` is the most saved up.
+  // Up to `percent` of the calls may be retried; `reserve` is the largest
+  // number of unused retries that are kept.
   explicit retry_budget(std::uint64_t percent, double reserve = 5)
       : share_(static_cast<double>(percent) / 100.0),
         reserve_(reserve),
-        saved_(std::min(reserve, percent > 0 ? reserve : 0)) {}
+        available_(std::min(reserve, percent > 0 ? reserve : 0)) {}
 
   void set_percent(std::uint64_t percent) {
     share_ = static_cast<double>(percent) / 100.0;
   }
 
-  void note_call() { saved_ = std::min(reserve_, saved_ + share_); }
+  void note_call() { available_ = std::min(reserve_, available_ + share_); }
 
-  // Spends one retry; false when there is none.
+  // Spends one retry; false if none is left.
   bool spend() {
-    if (saved_ < 1 || share_ == 0) {
+    if (available_ < 1 || share_ == 0) {
       return false;
     }
-    saved_ -= 1;
+    available_ -= 1;
     return true;
   }
 
  private:
   double share_;
   double reserve_;
-  double saved_;
+  double available_;
 };
 
 }  // namespace trayrock
--- a/include/trayrock/internal/decide/routing.h
+++ b/include/trayrock/internal/decide/routing.h
@@ -1,8 +1,5 @@
-// Choice of a runner for one call, at the program's owner.
-//
-// The baselines that operators would otherwise run stand beside the product's
-// own policy, so that every measurement can put one against the other.
-// Randomness and time are arguments; nothing here keeps a clock.
+// Chooses the endpoint for a call, at the program's owner. The usual policies
+// are offered as baselines to compare with `balanced`.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +11,12 @@
 
 namespace trayrock {
 
-// What the owner knows of one runner that may take the call.
+// The state of a candidate endpoint, as known to the owner.
 struct runner_view {
   std::string endpoint;
   std::uint64_t expected_wait_ms = 0;
-  std::uint64_t report_age_ms = 0;      // how old that report is
-  std::uint64_t sent_since_report = 0;  // calls this owner sent since
+  std::uint64_t report_age_ms = 0;      // age of the last report
+  std::uint64_t sent_since_report = 0;  // calls that this owner sent since
   std::uint64_t running = 0;
   std::uint64_t slots = 16;
   std::uint64_t prefill_tokens_per_second = 20000;
@@ -27,23 +24,23 @@
 };
 
 struct routing_request {
-  std::uint64_t context_tokens = 0;  // prefix that a runner may hold
-  std::string prefix_endpoint;       // where the program ran last
-  std::uint64_t number = 0;          // counts this owner's calls
+  std::uint64_t context_tokens = 0;  // length of the prefix that may be cached
+  std::string prefix_endpoint;       // where the program's last call ran
+  std::uint64_t number = 0;          // running count of this owner's calls
 };
 
 struct round_robin {};
 struct least_loaded {};
-struct prefix_affinity {};  // the prefix's runner, whatever its wait
+struct prefix_affinity {};  // the endpoint with the prefix, at any wait
 struct balanced {
-  double cache_weight = 0.5;  // 0: latency alone, 1: wasted cache alone
+  double cache_weight = 0.5;  // 0: latency alone, 1: cache use alone
 };
 using routing_policy =
     std::variant<round_robin, least_loaded, prefix_affinity, balanced>;
 
 routing_policy routing_by_name(std::string_view name, double cache_weight);
 
-// The index of the chosen runner; nothing when there is none.
+// The index of the chosen endpoint; nothing if there are no candidates.
 std::optional<std::size_t> choose_runner(const routing_policy& policy,
                                          const routing_request& request,
                                          std::span<const runner_view> runners,
--- a/src/decide/balance.cc
+++ b/src/decide/balance.cc
@@ -12,22 +12,23 @@
   if (owned.empty()) {
     return plan;
   }
-  const std::size_t holders = owned.size() + (leaving ? 0 : 1);
-  const std::size_t fair = (all_shards + holders - 1) / holders;
-  std::size_t mine = served.size();
+  const std::size_t owners = owned.size() + (leaving ? 0 : 1);
+  const std::size_t fair_share = (all_shards + owners - 1) / owners;
+  std::size_t remaining = served.size();
   for (const std::uint32_t shard : served) {
     const auto least = std::min_element(
         owned.begin(), owned.end(), [](const auto& left, const auto& right) {
           return left.second < right.second;
         });
-    const bool surplus = mine > fair || mine > least->second + 1;
-    const bool room = least->second < fair;
-    if (!leaving && (!surplus || !room)) {
+    const bool has_surplus =
+        remaining > fair_share || remaining > least->second + 1;
+    const bool has_room = least->second < fair_share;
+    if (!leaving && (!has_surplus || !has_room)) {
       break;
     }
     plan[shard] = least->first;
     ++least->second;
-    --mine;
+    --remaining;
   }
   return plan;
 }
--- a/src/decide/burn_windows.cc
+++ b/src/decide/burn_windows.cc
@@ -21,12 +21,12 @@
 void burn_windows::add(const burn_key& key, burn_count what, double amount,
                        std::uint64_t now_ms) {
   const std::uint64_t minute = now_ms / ms_per_minute;
-  minute_counts& place = rings_[key][minute % minutes];
-  if (place.minute != minute) {
-    place = minute_counts{};
-    place.minute = minute;
+  minute_counts& slot = rings_[key][minute % minutes];
+  if (slot.minute != minute) {
+    slot = minute_counts{};
+    slot.minute = minute;
   }
-  place.counts[static_cast<std::size_t>(what)] += amount;
+  slot.counts[static_cast<std::size_t>(what)] += amount;
 }
 
 double burn_windows::sum(const burn_key& key, burn_count what,
@@ -53,10 +53,10 @@
     nlohmann::json made{{"service", key.service}, {"class", key.work_class}};
     for (std::size_t what = 0; what < burn_counts; ++what) {
       nlohmann::json row = nlohmann::json::array();
-      for (std::uint64_t back = minutes; back > 0; --back) {
-        const std::uint64_t minute = now + 1 - back;
-        const minute_counts& place = ring[minute % minutes];
-        row.push_back(place.minute == minute ? place.counts[what] : 0.0);
+      for (std::uint64_t age = minutes; age > 0; --age) {
+        const std::uint64_t minute = now + 1 - age;
+        const minute_counts& slot = ring[minute % minutes];
+        row.push_back(slot.minute == minute ? slot.counts[what] : 0.0);
       }
       made[std::string(names[what])] = std::move(row);
     }
--- a/src/decide/routing.cc
+++ b/src/decide/routing.cc
@@ -6,12 +6,11 @@
 namespace {
 
 constexpr double ms_per_second = 1000;
-// Wait that a call sent since the last report adds, as a share of a slot's
-// typical time; reports come with every answer, so that few are unreported.
+// Wait added by each call sent since the last report. Reports come with every
+// reply, so few calls are unreported.
 constexpr double unreported_call_ms = 20;
-// A prefix is worth this many times its recompute time when the operators
-// weigh wasted cache alone.
-constexpr double most_cache_factor = 8;
+// Weight of a prefix's recompute time against wait at cache_weight 1.
+constexpr double max_cache_factor = 8;
 
 double wait_of(const runner_view& each) {
   const bool busy = each.running + each.sent_since_report >= each.slots;
@@ -41,7 +40,7 @@
   return std::nullopt;
 }
 
-std::size_t least(std::span<const runner_view> runners) {
+std::size_t least_loaded_index(std::span<const runner_view> runners) {
   const auto found =
       std::min_element(runners.begin(), runners.end(), less_loaded);
   return static_cast<std::size_t>(found - runners.begin());
@@ -55,31 +54,34 @@
   std::size_t operator()(const round_robin&) const {
     return request.number % runners.size();
   }
-  std::size_t operator()(const least_loaded&) const { return least(runners); }
+  std::size_t operator()(const least_loaded&) const {
+    return least_loaded_index(runners);
+  }
   std::size_t operator()(const prefix_affinity&) const {
-    const auto held = find_prefix(request, runners);
-    return held ? *held : request.number % runners.size();
+    const auto cached = find_prefix(request, runners);
+    return cached ? *cached : request.number % runners.size();
   }
   std::size_t operator()(const balanced& policy) const {
     const std::size_t other = better_of_two();
-    const auto held = find_prefix(request, runners);
-    if (!held) {
+    const auto cached = find_prefix(request, runners);
+    if (!cached) {
       return other;
     }
-    const runner_view& holder = runners[*held];
+    const runner_view& holder = runners[*cached];
     const double recompute_ms =
         ms_per_second * static_cast<double>(request.context_tokens) /
         static_cast<double>(holder.prefill_tokens_per_second);
-    // At weight 0.5 a wait is worth as much as the same time of recompute.
+    // At weight 0.5, waiting and recomputing cost the same per millisecond.
     const double factor =
         policy.cache_weight <= 0.5
             ? 2 * policy.cache_weight
-            : 1 + (policy.cache_weight - 0.5) * 2 * (most_cache_factor - 1);
-    const double gain = wait_of(holder) - wait_of(runners[other]);
-    return gain > recompute_ms * factor ? other : *held;
+            : 1 + (policy.cache_weight - 0.5) * 2 * (max_cache_factor - 1);
+    const double saved_wait_ms = wait_of(holder) - wait_of(runners[other]);
+    return saved_wait_ms > recompute_ms * factor ? other : *cached;
   }
 
-  // Two sampled by chance: cheap, and no herd runs after one old report.
+  // Power of two choices: avoids sending every call to the endpoint that an
+  // outdated report shows as idle.
   std::size_t better_of_two() const {
     const std::size_t first = random() % runners.size();
     const std::size_t second = random() % runners.size();
