--- a/test/program_book_test.cc
+++ b/test/program_book_test.cc
@@ -1,4 +1,4 @@
-// Order, history and budget of programs, as pure decisions.
+// Checks the order of calls, the budgets and the replay of journal records.
 #include "trayrock/internal/decide/program_book.h"
 
 #include "test_support.h"
@@ -34,18 +34,18 @@
 
 class program_book_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(program_book_test);
-  CPPUNIT_TEST(calls_run_in_their_order);
-  CPPUNIT_TEST(records_applied_twice_change_nothing_more);
-  CPPUNIT_TEST(reservation_keeps_the_budget_while_a_call_runs);
-  CPPUNIT_TEST(unknown_outcome_stays_charged);
+  CPPUNIT_TEST(calls_run_in_sequence);
+  CPPUNIT_TEST(applying_a_record_twice_has_no_effect);
+  CPPUNIT_TEST(running_call_reserves_its_budget);
+  CPPUNIT_TEST(call_with_unknown_outcome_is_charged_its_reservation);
   CPPUNIT_TEST(sub_programs_share_the_root_budget);
-  CPPUNIT_TEST(dropped_call_frees_its_number_but_not_its_attempts);
+  CPPUNIT_TEST(dropped_call_frees_its_sequence_number_but_not_its_attempts);
   CPPUNIT_TEST(snapshot_restores_the_state);
-  CPPUNIT_TEST(late_calls_meet_the_deadline);
+  CPPUNIT_TEST(calls_after_the_deadline_are_refused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void calls_run_in_their_order() {
+  void calls_run_in_sequence() {
     open("p");
     CPPUNIT_ASSERT_EQUAL(1104, refusal(make_request("p", 2, "x")));
     begin(make_request("p", 1, "x"));
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT_EQUAL(0, refusal(make_request("p", 2, "x")));
   }
 
-  void records_applied_twice_change_nothing_more() {
+  void applying_a_record_twice_has_no_effect() {
     open("p");
     open("p");
     const wire::CallIntent intent = begin(make_request("p", 1, "x"));
@@ -65,30 +65,31 @@
     settle("p", 1, wire::RAN_YES);
     apply_intent(intent);
 
-    const program_state& program = *book_.find("p");
+    const program_state& program = *programs_.find("p");
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, program.turns.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, program.used_calls);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, program.reserved_tokens);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{30}, program.used_tokens);
   }
 
-  void reservation_keeps_the_budget_while_a_call_runs() {
+  void running_call_reserves_its_budget() {
     open("p", 100, 200);
-    // 8 + 100 bytes and 50 tokens to come: 158 of 200 reserved.
+    // 8 tokens of overhead, 100 bytes and 50 new tokens: 158 of 200 reserved.
     begin(make_request("p", 1, std::string(100, 'x')));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{158}, book_.find("p")->reserved_tokens);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{158},
+                         programs_.find("p")->reserved_tokens);
     settle("p", 1, wire::RAN_YES);
     CPPUNIT_ASSERT_EQUAL(1301,
                          refusal(make_request("p", 2, std::string(100, 'x'))));
     CPPUNIT_ASSERT_EQUAL(0, refusal(make_request("p", 2, "x")));
   }
 
-  void unknown_outcome_stays_charged() {
+  void call_with_unknown_outcome_is_charged_its_reservation() {
     open("p");
     begin(make_request("p", 1, std::string(100, 'x')));
     settle("p", 1, wire::RAN_UNKNOWN);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{158}, book_.find("p")->used_tokens);
-    CPPUNIT_ASSERT(book_.find("p")->conversation().empty());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{158}, programs_.find("p")->used_tokens);
+    CPPUNIT_ASSERT(programs_.find("p")->conversation().empty());
     CPPUNIT_ASSERT_EQUAL(0, refusal(make_request("p", 2, "x")));
   }
 
@@ -105,16 +106,16 @@
     CPPUNIT_ASSERT_EQUAL(0, refusal(make_request("p.a", 2, "x")));
   }
 
-  void dropped_call_frees_its_number_but_not_its_attempts() {
+  void dropped_call_frees_its_sequence_number_but_not_its_attempts() {
     open("p");
     wire::CallIntent intent = begin(make_request("p", 1, "x"));
     intent.set_attempt(3);
     apply_intent(intent);
     settle("p", 1, wire::RAN_NO);
     const call_decision again =
-        book_.admit(make_request("p", 1, "x"), terms(), 0);
+        programs_.admit(make_request("p", 1, "x"), terms(), 0);
     CPPUNIT_ASSERT(std::holds_alternative<start_call>(again));
-    // The used keys are tombstones at the runners' nodes.
+    // The keys of used attempts may be tombstones at the endpoints' nodes.
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{3},
                          std::get<start_call>(again).intent.attempt());
   }
@@ -127,21 +128,21 @@
     begin(make_request("p.a", 1, "two"));
     program_book copy;
     for (const char* id : {"p", "p.a"}) {
-      copy.apply(program_book::snapshot(*book_.find(id), 0));
+      copy.apply(program_book::snapshot(*programs_.find(id), 0));
     }
     for (const char* id : {"p", "p.a"}) {
-      const program_state& held = *book_.find(id);
-      const program_state& made = *copy.find(id);
-      CPPUNIT_ASSERT_EQUAL(held.used_tokens, made.used_tokens);
-      CPPUNIT_ASSERT_EQUAL(held.used_calls, made.used_calls);
-      CPPUNIT_ASSERT_EQUAL(held.reserved_tokens, made.reserved_tokens);
-      CPPUNIT_ASSERT_EQUAL(held.reserved_calls, made.reserved_calls);
-      CPPUNIT_ASSERT_EQUAL(held.context_tokens, made.context_tokens);
-      CPPUNIT_ASSERT_EQUAL(held.turns.size(), made.turns.size());
+      const program_state& original = *programs_.find(id);
+      const program_state& restored = *copy.find(id);
+      CPPUNIT_ASSERT_EQUAL(original.used_tokens, restored.used_tokens);
+      CPPUNIT_ASSERT_EQUAL(original.used_calls, restored.used_calls);
+      CPPUNIT_ASSERT_EQUAL(original.reserved_tokens, restored.reserved_tokens);
+      CPPUNIT_ASSERT_EQUAL(original.reserved_calls, restored.reserved_calls);
+      CPPUNIT_ASSERT_EQUAL(original.context_tokens, restored.context_tokens);
+      CPPUNIT_ASSERT_EQUAL(original.turns.size(), restored.turns.size());
     }
   }
 
-  void late_calls_meet_the_deadline() {
+  void calls_after_the_deadline_are_refused() {
     wire::ProgramSpec spec = make_spec("p");
     spec.set_opened_at_ms(1000);
     spec.set_deadline_ms(500);
@@ -166,7 +167,7 @@
   void open(const wire::ProgramSpec& spec) {
     wire::Record record;
     *record.mutable_opened() = spec;
-    book_.apply(record);
+    programs_.apply(record);
   }
   void open(const std::string& id, std::uint64_t calls = 100,
             std::uint64_t tokens = 100000) {
@@ -174,7 +175,7 @@
   }
 
   wire::CallIntent begin(const wire::CallRequest& request) {
-    const call_decision decision = book_.admit(request, terms(), 0);
+    const call_decision decision = programs_.admit(request, terms(), 0);
     CPPUNIT_ASSERT(std::holds_alternative<start_call>(decision));
     wire::CallIntent intent = std::get<start_call>(decision).intent;
     intent.set_attempt(1);
@@ -185,7 +186,7 @@
   void apply_intent(const wire::CallIntent& intent) {
     wire::Record record;
     *record.mutable_intent() = intent;
-    book_.apply(record);
+    programs_.apply(record);
   }
 
   void settle(const std::string& program, std::uint64_t sequence,
@@ -198,16 +199,16 @@
     outcome.set_answer("answer");
     outcome.mutable_usage()->set_prompt_tokens(20);
     outcome.mutable_usage()->set_completion_tokens(10);
-    book_.apply(record);
+    programs_.apply(record);
   }
 
   int refusal(const wire::CallRequest& request, std::uint64_t now = 0) {
-    const call_decision decision = book_.admit(request, terms(), now);
+    const call_decision decision = programs_.admit(request, terms(), now);
     const auto* refused = std::get_if<refuse_call>(&decision);
     return refused == nullptr ? 0 : static_cast<int>(refused->failure.code());
   }
 
-  program_book book_;
+  program_book programs_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(program_book_test);
