--- a/test/config_test.cc
+++ b/test/config_test.cc
@@ -1,4 +1,5 @@
-// Configuration: in force everywhere, never back, through outages and races.
+// Checks that configuration reaches every process and never reverts, through
+// outages, lost messages and concurrent changes.
 #include <csignal>
 #include <fstream>
 #include <thread>
@@ -11,15 +12,15 @@
 
 class config_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(config_test);
-  CPPUNIT_TEST(bad_declaration_never_displaces_a_good_one);
-  CPPUNIT_TEST(racing_operators_see_the_conflict);
-  CPPUNIT_TEST(restart_during_an_outage_gets_it_from_peers);
-  CPPUNIT_TEST(lost_write_answers_and_watch_gaps_do_not_stop_it);
-  CPPUNIT_TEST(generations_only_rise_under_faults);
+  CPPUNIT_TEST(invalid_declaration_never_replaces_a_valid_one);
+  CPPUNIT_TEST(concurrent_changes_of_operators_conflict);
+  CPPUNIT_TEST(restart_during_an_outage_gets_configuration_from_peers);
+  CPPUNIT_TEST(lost_write_responses_and_watch_events_do_not_stop_changes);
+  CPPUNIT_TEST(generations_never_decrease_under_faults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void bad_declaration_never_displaces_a_good_one() {
+  void invalid_declaration_never_replaces_a_valid_one() {
     deployment system;
     system.start_all();
     const int before = generation(system, "entry-1");
@@ -28,10 +29,10 @@
     CPPUNIT_ASSERT_EQUAL(2, apply(system, {}, &output));
     TRAYROCK_CHECK(output.find("1604") != std::string::npos, output);
 
-    // Stored behind the tool's back, it is refused and says why.
+    // Stored without the tool, it is rejected and its status has the reason.
     put_raw(system, "c/config/Member/caroni",
             R"({"kind": "Member", "name": "caroni", "spec": {"max": 1}})");
-    wait_until("the refusal shows in the status", [&] {
+    wait_until("the rejection is in the status", [&] {
       std::string status;
       get(system, "Member", &status);
       return status.find("REFUSED") != std::string::npos &&
@@ -42,7 +43,7 @@
     CPPUNIT_ASSERT_EQUAL(200, system.call("entry-1", id, 1, "a", "x").status);
   }
 
-  void racing_operators_see_the_conflict() {
+  void concurrent_changes_of_operators_conflict() {
     deployment system;
     system.start_all();
     write_member(system, "new", R"({"max_programs": 10})");
@@ -51,7 +52,7 @@
     write_member(system, "new", R"({"max_programs": 20})");
     CPPUNIT_ASSERT_EQUAL(
         0, apply(system, {"--state", "/dev/null", "--overwrite"}, &output));
-    // This operator has not seen the other's change.
+    // This operator's state file predates the other's change.
     write_member(system, "new", R"({"max_programs": 30})");
     CPPUNIT_ASSERT_EQUAL(1, apply(system, {}, &output));
     TRAYROCK_CHECK(output.find("1608") != std::string::npos &&
@@ -60,7 +61,7 @@
                    output);
   }
 
-  void restart_during_an_outage_gets_it_from_peers() {
+  void restart_during_an_outage_gets_configuration_from_peers() {
     deployment system;
     system.start_all();
     const int before = generation(system, "entry-1");
@@ -75,7 +76,7 @@
     CPPUNIT_ASSERT(generation(system, "box-b") >= before);
   }
 
-  void lost_write_answers_and_watch_gaps_do_not_stop_it() {
+  void lost_write_responses_and_watch_events_do_not_stop_changes() {
     deployment system;
     system.start_all();
     const int before = generation(system, "entry-1");
@@ -83,23 +84,23 @@
     write_member(system, "late", R"({"max_programs": 10})");
     std::string output;
     CPPUNIT_ASSERT_EQUAL(0, apply(system, {}, &output));
-    wait_in_force(system, before + 1);
+    wait_for_generation(system, before + 1);
   }
 
-  void generations_only_rise_under_faults() {
+  void generations_never_decrease_under_faults() {
     deployment system;
     system.start_all();
-    std::map<std::string, int> seen;
-    const auto look = [&] {
+    std::map<std::string, int> last;
+    const auto check_generations = [&] {
       for (const std::string& name : processes(system)) {
         const json status = system.status(name);
         const int now = status.value("generation", 0);
         if (now == 0) {
           continue;  // just started
         }
-        TRAYROCK_CHECK(now >= seen[name],
-                       name << " went from " << seen[name] << " to " << now);
-        seen[name] = now;
+        TRAYROCK_CHECK(now >= last[name], name << " decreased from "
+                                               << last[name] << " to " << now);
+        last[name] = now;
       }
     };
     for (int round = 0; round < 6; ++round) {
@@ -117,13 +118,13 @@
       std::string output;
       wait_until("applied", [&] { return apply(system, {}, &output) == 0; });
       if (round != 2 && round != 3) {
-        wait_until("in force", [&] {
-          look();
-          return in_force_everywhere(system);
+        wait_until("in effect everywhere", [&] {
+          check_generations();
+          return is_in_effect_everywhere(system);
         });
       }
     }
-    look();
+    check_generations();
   }
 
  private:
@@ -139,10 +140,10 @@
     return system.status(process).value("generation", 0);
   }
 
-  static void wait_in_force(deployment& system, int wanted) {
-    wait_until("generation " + std::to_string(wanted) + " everywhere", [&] {
+  static void wait_for_generation(deployment& system, int expected) {
+    wait_until("generation " + std::to_string(expected) + " everywhere", [&] {
       for (const std::string& name : processes(system)) {
-        if (generation(system, name) < wanted) {
+        if (generation(system, name) < expected) {
           return false;
         }
       }
@@ -150,8 +151,9 @@
     });
   }
 
-  // All processes at one generation, which holds all that was declared.
-  static bool in_force_everywhere(deployment& system) {
+  // True if all processes have the same generation and no declaration is
+  // pending.
+  static bool is_in_effect_everywhere(deployment& system) {
     std::string status;
     get(system, "Member", &status);
     if (status.find("pending") != std::string::npos) {
@@ -197,13 +199,13 @@
 
   static void put_raw(deployment& system, const std::string& key,
                       const std::string& bytes) {
-    const http_answer held =
+    const http_answer current =
         system.request("platform", "GET", "/v1/objects/" + key);
     CPPUNIT_ASSERT_EQUAL(
         200, system
                  .request("platform", "PUT",
                           "/v1/objects/" + key +
-                              "?if_version=" + held.headers.at("x-version"),
+                              "?if_version=" + current.headers.at("x-version"),
                           bytes)
                  .status);
   }
