--- a/test/config_store_test.cc
+++ b/test/config_store_test.cc
@@ -1,4 +1,5 @@
-// Accepted configuration rises only, and bad declarations stay out.
+// Checks that the generation never decreases and that invalid declarations are
+// rejected.
 #include <set>
 
 #include "test_support.h"
@@ -22,15 +23,15 @@
 
 class config_store_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(config_store_test);
-  CPPUNIT_TEST(generation_never_goes_back);
-  CPPUNIT_TEST(delta_from_a_later_start_is_not_taken);
+  CPPUNIT_TEST(generation_never_decreases);
+  CPPUNIT_TEST(delta_with_a_gap_is_ignored);
   CPPUNIT_TEST(declarations_may_refer_to_each_other_in_any_order);
-  CPPUNIT_TEST(faulty_declaration_keeps_its_accepted_form);
+  CPPUNIT_TEST(invalid_declaration_keeps_the_accepted_version);
   CPPUNIT_TEST(all_faults_of_a_declaration_are_listed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void generation_never_goes_back() {
+  void generation_never_decreases() {
     config_store store;
     accept(store, {make_declaration("Member", "a", "{}", 1)});
     const wire::ConfigDelta first = store.delta(0);
@@ -40,13 +41,13 @@
     CPPUNIT_ASSERT(store.whole().members.contains("b"));
   }
 
-  void delta_from_a_later_start_is_not_taken() {
-    config_store ahead;
-    accept(ahead, {make_declaration("Member", "a", "{}", 1)});
-    accept(ahead, {make_declaration("Member", "b", "{}", 2)});
+  void delta_with_a_gap_is_ignored() {
+    config_store source;
+    accept(source, {make_declaration("Member", "a", "{}", 1)});
+    accept(source, {make_declaration("Member", "b", "{}", 2)});
     config_store empty;
-    CPPUNIT_ASSERT(!empty.adopt(ahead.delta(1)));
-    CPPUNIT_ASSERT(empty.adopt(ahead.delta(0)));
+    CPPUNIT_ASSERT(!empty.adopt(source.delta(1)));
+    CPPUNIT_ASSERT(empty.adopt(source.delta(0)));
     CPPUNIT_ASSERT(empty.whole().members.contains("a"));
   }
 
@@ -60,7 +61,7 @@
     CPPUNIT_ASSERT(store.whole().programs.contains("talk"));
   }
 
-  void faulty_declaration_keeps_its_accepted_form() {
+  void invalid_declaration_keeps_the_accepted_version() {
     config_store store;
     accept(store,
            {make_declaration("Member", "a", R"({"max_programs": 7})", 1)});
