--- a/test/journal_writer_test.cc
+++ b/test/journal_writer_test.cc
@@ -1,4 +1,5 @@
-// One journal's writer: what is durable, what is sent, when it ends.
+// Checks that records are acknowledged only once they are durable, and never
+// after a successor's seal.
 #include "trayrock/internal/decide/journal_writer.h"
 
 #include "test_support.h"
@@ -16,16 +17,16 @@
 
 class journal_writer_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(journal_writer_test);
-  CPPUNIT_TEST(waiting_records_share_one_segment);
-  CPPUNIT_TEST(lost_answer_is_read_back_not_written_blindly);
-  CPPUNIT_TEST(absent_segment_is_sent_again_with_the_same_bytes);
-  CPPUNIT_TEST(holder_is_used_only_once_it_is_stored);
-  CPPUNIT_TEST(former_holder_is_released_once_all_is_stored);
-  CPPUNIT_TEST(sealed_journal_acknowledges_nothing_more);
+  CPPUNIT_TEST(pending_records_share_a_segment);
+  CPPUNIT_TEST(unknown_result_is_resolved_by_reading_back);
+  CPPUNIT_TEST(absent_segment_is_retried_with_the_same_bytes);
+  CPPUNIT_TEST(holder_is_used_only_after_its_name_is_stored);
+  CPPUNIT_TEST(former_holder_is_released_once_its_records_are_stored);
+  CPPUNIT_TEST(sealed_journal_acknowledges_nothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void waiting_records_share_one_segment() {
+  void pending_records_share_a_segment() {
     writer_.append(wire::Record(), 0);
     const auto first = only<put_segment>(writer_.poll(0));
     writer_.append(wire::Record(), 0);
@@ -38,7 +39,7 @@
     CPPUNIT_ASSERT_EQUAL(2, segment.records_size());
   }
 
-  void lost_answer_is_read_back_not_written_blindly() {
+  void unknown_result_is_resolved_by_reading_back() {
     writer_.append(wire::Record(), 0);
     const auto put = only<put_segment>(writer_.poll(0));
     writer_.put_answered(put.number, put_outcome::uncertain, 0);
@@ -51,7 +52,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, ack.up_to);
   }
 
-  void absent_segment_is_sent_again_with_the_same_bytes() {
+  void absent_segment_is_retried_with_the_same_bytes() {
     writer_.append(wire::Record(), 0);
     const auto put = only<put_segment>(writer_.poll(0));
     writer_.append(wire::Record(), 0);
@@ -62,7 +63,7 @@
     CPPUNIT_ASSERT(put.bytes == again.bytes);
   }
 
-  void holder_is_used_only_once_it_is_stored() {
+  void holder_is_used_only_after_its_name_is_stored() {
     writer_.name_holder(make_holder("h1"), 0);
     const auto put = only<put_segment>(writer_.poll(0));
     writer_.append(wire::Record(), 0);
@@ -75,7 +76,7 @@
     CPPUNIT_ASSERT(copied);
   }
 
-  void former_holder_is_released_once_all_is_stored() {
+  void former_holder_is_released_once_its_records_are_stored() {
     writer_.name_holder(make_holder("h1"), 0);
     store_all();
     writer_.append(wire::Record(), 0);
@@ -86,7 +87,7 @@
     CPPUNIT_ASSERT(!writer_.has_former_holders());
   }
 
-  void sealed_journal_acknowledges_nothing_more() {
+  void sealed_journal_acknowledges_nothing() {
     writer_.append(wire::Record(), 0);
     const auto put = only<put_segment>(writer_.poll(0));
     writer_.put_answered(put.number, put_outcome::exists, 0);
@@ -105,9 +106,9 @@
   template <typename action_type>
   static action_type only(const journal_actions& actions) {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
-    const auto* held = std::get_if<action_type>(&actions.front());
-    CPPUNIT_ASSERT(held != nullptr);
-    return *held;
+    const auto* action = std::get_if<action_type>(&actions.front());
+    CPPUNIT_ASSERT(action != nullptr);
+    return *action;
   }
 
   static int releases(const journal_actions& actions) {
@@ -118,17 +119,17 @@
     return count;
   }
 
-  // Answers every write until nothing waits; gives the releases seen.
+  // Completes writes until none is pending; returns the number of releases.
   int store_all() {
-    int seen = 0;
+    int released = 0;
     for (int i = 0; i < 5; ++i) {
       const journal_actions actions = writer_.poll(0);
-      seen += releases(actions);
+      released += releases(actions);
       for (std::uint64_t number = 0; number < 10; ++number) {
         writer_.put_answered(number, put_outcome::stored, 0);
       }
     }
-    return seen;
+    return released;
   }
 
   journal_writer writer_{"n~s~0", journal_options{}};
