--- a/test/ownership_model_test.cc
+++ b/test/ownership_model_test.cc
@@ -1,9 +1,9 @@
-// The rules of ownership against the real decision code, over many seeded
-// runs of a tiny world: one owner, one copy holder, successors that die, a
-// platform that is out, loses answers or lets writes arrive late.
+// Model test of the takeover of a journal, with an owner, a copy holder,
+// successors that crash, and a platform with outages, lost responses and
+// delayed writes.
 //
-// What must hold: a record that was acknowledged is read by the successor
-// that serves, unless both the holder's and the owner's starts are gone.
+// Checks that the serving successor has every acknowledged record, unless both
+// the copy holder and the owner have stopped.
 #include <map>
 #include <memory>
 #include <random>
@@ -18,24 +18,24 @@
 namespace {
 
 constexpr int seeds = 6000;
-constexpr int steps_a_seed = 120;
-constexpr std::uint64_t records_a_run = 5;
+constexpr int steps_per_seed = 120;
+constexpr std::uint64_t max_records = 5;
 
-// Rules that can be left out, to show what each is needed for.
-enum class left_out {
-  nothing,
+// Steps of the protocol that can be disabled, to show that each is needed.
+enum class disabled_step {
+  none,
   seal,                // the successor reads without sealing
-  promise,             // the holder goes on taking records after a claim
+  seal_copies,         // the holder accepts records after a claim
   keep_until_durable,  // the holder drops the tail when it is claimed
-  holder_first,        // out of reach is taken as gone
+  wait_for_holder,     // an unreachable process is treated as stopped
 };
 
-using segment_row = std::map<std::uint64_t, wire::Segment>;
+using segment_map = std::map<std::uint64_t, wire::Segment>;
 
-class world {
+class takeover_model {
  public:
-  world(std::uint64_t seed, left_out rule)
-      : random_(seed), rule_(rule), writer_("owner", options()) {
+  takeover_model(std::uint64_t seed, disabled_step disabled)
+      : random_(seed), disabled_(disabled), writer_("owner", options()) {
     keeper_ = std::make_unique<copy_keeper>("holder-1", 1U << 20);
     wire::CopyHolderNamed holder;
     holder.set_node("holder");
@@ -45,7 +45,7 @@
 
   // Records acknowledged to callers.
   std::set<std::uint64_t> acknowledged;
-  // Records that the serving successor has; nothing while none serves.
+  // Records that the serving successor has.
   std::set<std::uint64_t> served;
   bool serving = false;
   bool loss_allowed = false;
@@ -54,7 +54,7 @@
     now_ += chance(50) ? 1 : 60;
     switch (random_() % 10) {
       case 0:
-        if (owner_up() && appended_ < records_a_run) {
+        if (owner_is_up() && appended_ < max_records) {
           ++appended_;
           writer_.append(wire::Record(), now_);
         }
@@ -77,14 +77,14 @@
         }
         break;
       case 5:
-        deliver_late_write();
+        deliver_delayed_write();
         break;
       default:
         act();
     }
   }
 
-  // Everything heals and the owner stays away: a successor comes to serve.
+  // Ends all faults and lets a successor take over.
   void settle() {
     outage_ = false;
     owner_dead_ = owner_dead_ || chance(50);
@@ -105,7 +105,7 @@
   }
 
   bool chance(std::uint64_t percent) { return random_() % 100 < percent; }
-  bool owner_up() const { return !owner_dead_ && !paused_; }
+  bool owner_is_up() const { return !owner_dead_ && !paused_; }
 
   void act() {
     if (chance(60)) {
@@ -116,20 +116,20 @@
   }
 
   void act_owner() {
-    if (owner_up()) {
+    if (owner_is_up()) {
       for (const journal_action& each : writer_.poll(now_)) {
-        carry_out(each);
+        perform(each);
       }
     }
   }
 
-  void carry_out(const journal_action& action) {
+  void perform(const journal_action& action) {
     if (const auto* put = std::get_if<put_segment>(&action)) {
-      carry_out_put(*put);
+      perform_put(*put);
     } else if (const auto* read = std::get_if<read_segment>(&action)) {
-      carry_out_read(read->number);
+      perform_read(read->number);
     } else if (const auto* copy = std::get_if<send_copy>(&action)) {
-      carry_out_copy(copy->message);
+      perform_copy(copy->message);
     } else if (const auto* ack = std::get_if<acknowledge>(&action)) {
       for (std::uint64_t i = 1; i <= ack->up_to; ++i) {
         acknowledged.insert(i);
@@ -137,44 +137,45 @@
     }
   }
 
-  void take(const journal_actions& actions) {
+  void perform_all(const journal_actions& actions) {
     for (const journal_action& each : actions) {
-      carry_out(each);
+      perform(each);
     }
   }
 
-  void carry_out_put(const put_segment& put) {
+  void perform_put(const put_segment& put) {
     wire::Segment segment;
     segment.ParseFromString(put.bytes);
-    const std::uint64_t fate = random_() % 4;
-    if (outage_ || fate == 0) {
-      // Lost, or still on its way.
+    const std::uint64_t fault = random_() % 4;
+    if (outage_ || fault == 0) {
+      // The write is lost or delayed.
       if (chance(50)) {
-        late_.emplace_back(put.number, segment);
+        delayed_.emplace_back(put.number, segment);
       }
-      take(writer_.put_answered(put.number, put_outcome::uncertain, now_));
+      perform_all(
+          writer_.put_answered(put.number, put_outcome::uncertain, now_));
       return;
     }
-    const bool fresh = segments_.try_emplace(put.number, segment).second;
-    const put_outcome seen =
-        fate == 1 ? put_outcome::uncertain
-                  : (fresh ? put_outcome::stored : put_outcome::exists);
-    take(writer_.put_answered(put.number, seen, now_));
+    const bool added = segments_.try_emplace(put.number, segment).second;
+    const put_outcome outcome =
+        fault == 1 ? put_outcome::uncertain
+                   : (added ? put_outcome::stored : put_outcome::exists);
+    perform_all(writer_.put_answered(put.number, outcome, now_));
   }
 
-  void carry_out_read(std::uint64_t number) {
+  void perform_read(std::uint64_t number) {
     if (outage_) {
       writer_.read_failed(now_);
       return;
     }
     const auto found = segments_.find(number);
-    take(writer_.read_answered(
+    perform_all(writer_.read_answered(
         number,
         found == segments_.end() ? std::nullopt : std::optional(found->second),
         now_));
   }
 
-  void carry_out_copy(const wire::CopyAppend& message) {
+  void perform_copy(const wire::CopyAppend& message) {
     if (chance(20)) {
       writer_.copy_failed(now_);
       return;
@@ -184,24 +185,22 @@
       writer_.copy_failed(now_);
       return;
     }
-    take(writer_.copy_answered(ack.held_up_to()));
+    perform_all(writer_.copy_answered(ack.held_up_to()));
   }
 
-  void deliver_late_write() {
-    if (!late_.empty() && !outage_) {
-      segments_.try_emplace(late_.back().first, late_.back().second);
-      late_.pop_back();
+  void deliver_delayed_write() {
+    if (!delayed_.empty() && !outage_) {
+      segments_.try_emplace(delayed_.back().first, delayed_.back().second);
+      delayed_.pop_back();
     }
   }
 
-  // ---- The successor -------------------------------------------------------
-
   void act_successor(bool may_die) {
     if (outage_ || serving) {
       return;
     }
     if (may_die && chance(10)) {
-      // Another one begins from the start.
+      // Another successor starts over.
       sealed_ = false;
       tail_ = tail_view();
       return;
@@ -219,7 +218,7 @@
       ++number;
     }
     end_ = number;
-    if (rule_ != left_out::seal) {
+    if (disabled_ != disabled_step::seal) {
       segments_[number].mutable_seal()->set_by("successor");
     }
     sealed_ = true;
@@ -251,7 +250,7 @@
         break;
       case tail_step::take_tail:
         for (const wire::Record& each : reader.take_tail(
-                 {given_.records().begin(), given_.records().end()})) {
+                 {received_.records().begin(), received_.records().end()})) {
           read.insert(each.sequence());
         }
         break;
@@ -262,31 +261,32 @@
 
   void ask_holder() {
     if (chance(30)) {
-      const bool wrong = rule_ == left_out::holder_first;
+      const bool give_up = disabled_ == disabled_step::wait_for_holder;
       tail_.holder =
-          wrong ? tail_answer::other_start : tail_answer::unreachable;
-      tail_.owner_gone = tail_.owner_gone || wrong;
-      if (wrong) {
+          give_up ? tail_answer::other_start : tail_answer::unreachable;
+      tail_.owner_gone = tail_.owner_gone || give_up;
+      if (give_up) {
         tail_.owner = tail_answer::other_start;
       }
       return;
     }
     wire::CopyClaim claim;
-    claim.set_journal(rule_ == left_out::promise ? "other" : "owner");
+    claim.set_journal(disabled_ == disabled_step::seal_copies ? "other"
+                                                              : "owner");
     claim.set_holder_start("holder-1");
-    if (rule_ == left_out::promise) {
-      // Reads the tail without the promise.
+    if (disabled_ == disabled_step::seal_copies) {
+      // Reads the tail without sealing the journal at the holder.
       copy_keeper copy = *keeper_;
       claim.set_journal("owner");
-      given_ = copy.claim(claim);
+      received_ = copy.claim(claim);
     } else {
-      given_ = keeper_->claim(claim);
+      received_ = keeper_->claim(claim);
     }
-    if (rule_ == left_out::keep_until_durable) {
+    if (disabled_ == disabled_step::keep_until_durable) {
       keeper_->release("owner");
     }
     tail_.holder =
-        given_.other_start() ? tail_answer::other_start : tail_answer::given;
+        received_.other_start() ? tail_answer::other_start : tail_answer::given;
   }
 
   void ask_owner() {
@@ -295,9 +295,9 @@
     } else if (paused_) {
       tail_.owner = tail_answer::unreachable;
     } else {
-      given_.Clear();
+      received_.Clear();
       for (const wire::Record& each : writer_.unstored()) {
-        *given_.add_records() = each;
+        *received_.add_records() = each;
       }
       writer_.stop();
       tail_.owner = tail_answer::given;
@@ -305,11 +305,11 @@
   }
 
   std::mt19937_64 random_;
-  left_out rule_;
+  disabled_step disabled_;
   journal_writer writer_;
   std::unique_ptr<copy_keeper> keeper_;
-  segment_row segments_;
-  std::vector<std::pair<std::uint64_t, wire::Segment>> late_;
+  segment_map segments_;
+  std::vector<std::pair<std::uint64_t, wire::Segment>> delayed_;
   std::uint64_t now_ = 1;
   std::uint64_t appended_ = 0;
   std::uint64_t end_ = 0;
@@ -319,19 +319,20 @@
   bool holder_restarted_ = false;
   bool sealed_ = false;
   tail_view tail_;
-  wire::CopyTail given_;
+  wire::CopyTail received_;
 };
 
-// Runs in which an acknowledged record was lost though it need not be.
-int runs_with_loss(left_out rule) {
+// Number of runs that lost an acknowledged record although the owner or the
+// holder was still running, or that ended without a serving successor.
+int runs_with_loss(disabled_step disabled) {
   int losses = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    world run(seed, rule);
-    for (int i = 0; i < steps_a_seed; ++i) {
+    takeover_model run(seed, disabled);
+    for (int i = 0; i < steps_per_seed; ++i) {
       run.step();
     }
     run.settle();
-    // The woken owner may go on for a while, until it reads the seal.
+    // An owner that was paused may continue until it reads the seal.
     for (int i = 0; i < 20; ++i) {
       run.step();
     }
@@ -347,21 +348,21 @@
 class ownership_model_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ownership_model_test);
   CPPUNIT_TEST(acknowledged_records_are_never_lost);
-  CPPUNIT_TEST(each_rule_is_needed);
+  CPPUNIT_TEST(each_step_is_needed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void acknowledged_records_are_never_lost() {
-    CPPUNIT_ASSERT_EQUAL(0, runs_with_loss(left_out::nothing));
+    CPPUNIT_ASSERT_EQUAL(0, runs_with_loss(disabled_step::none));
   }
 
-  void each_rule_is_needed() {
-    for (const left_out rule :
-         {left_out::seal, left_out::promise, left_out::keep_until_durable,
-          left_out::holder_first}) {
-      const int losses = runs_with_loss(rule);
+  void each_step_is_needed() {
+    for (const disabled_step disabled :
+         {disabled_step::seal, disabled_step::seal_copies,
+          disabled_step::keep_until_durable, disabled_step::wait_for_holder}) {
+      const int losses = runs_with_loss(disabled);
       TRAYROCK_CHECK(losses > 0,
-                     "no loss without rule " << static_cast<int>(rule));
+                     "no loss without step " << static_cast<int>(disabled));
     }
   }
 };
