--- a/test/membership_test.cc
+++ b/test/membership_test.cc
@@ -1,4 +1,4 @@
-// Who is up and who watches whom, as decisions with given time.
+// Checks failure detection and the assignment of watchers.
 #include "trayrock/internal/decide/membership.h"
 
 #include <map>
@@ -23,16 +23,16 @@
 
 class membership_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(membership_test);
-  CPPUNIT_TEST(silent_node_is_gone_and_a_higher_beat_brings_it_back);
-  CPPUNIT_TEST(paused_observer_gives_the_others_a_new_chance);
-  CPPUNIT_TEST(earlier_start_is_not_heard_again);
+  CPPUNIT_TEST(node_without_heartbeats_is_gone_until_a_higher_one);
+  CPPUNIT_TEST(paused_observer_restarts_the_time_limits);
+  CPPUNIT_TEST(update_from_an_earlier_start_is_ignored);
   CPPUNIT_TEST(every_node_has_two_watchers);
-  CPPUNIT_TEST(two_nodes_a_place_watch_the_configuration);
-  CPPUNIT_TEST(news_come_first_and_everybody_in_turn);
+  CPPUNIT_TEST(two_nodes_per_data_centre_watch_the_configuration);
+  CPPUNIT_TEST(every_member_is_sent_in_turn);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void silent_node_is_gone_and_a_higher_beat_brings_it_back() {
+  void node_without_heartbeats_is_gone_until_a_higher_one() {
     membership view(make_peer("a", 1));
     view.hear(make_peer("b", 1), 0);
     for (std::uint64_t now = 0; now <= suspect_ms; now += 100) {
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.others().size());
   }
 
-  void paused_observer_gives_the_others_a_new_chance() {
+  void paused_observer_restarts_the_time_limits() {
     membership view(make_peer("a", 1));
     view.hear(make_peer("b", 1), 0);
     view.judge(100, suspect_ms);
@@ -53,7 +53,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.others().size());
   }
 
-  void earlier_start_is_not_heard_again() {
+  void update_from_an_earlier_start_is_ignored() {
     membership view(make_peer("a", 1));
     view.hear(make_peer("b", 1, "2"), 0);
     view.hear(make_peer("b", 900, "1"), 0);
@@ -76,7 +76,7 @@
     }
   }
 
-  void two_nodes_a_place_watch_the_configuration() {
+  void two_nodes_per_data_centre_watch_the_configuration() {
     int watchers = 0;
     for (int i = 0; i < 20; ++i) {
       watchers += view_of(i, 20).is_config_watcher() ? 1 : 0;
@@ -84,15 +84,15 @@
     CPPUNIT_ASSERT_EQUAL(2, watchers);
   }
 
-  void news_come_first_and_everybody_in_turn() {
+  void every_member_is_sent_in_turn() {
     membership view = view_of(0, 30);
-    std::set<std::string> told;
+    std::set<std::string> sent;
     for (int i = 0; i < 12; ++i) {
       for (const wire::Peer& each : view.news(8)) {
-        told.insert(each.node());
+        sent.insert(each.node());
       }
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{29}, told.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{29}, sent.size());
   }
 
  private:
