--- a/test/request_table_test.cc
+++ b/test/request_table_test.cc
@@ -1,4 +1,4 @@
-// At most once, as a table's decisions.
+// Checks that no request runs twice, or after it was reported as not run.
 #include "trayrock/internal/decide/request_table.h"
 
 #include "test_support.h"
@@ -22,80 +22,81 @@
 
 class request_table_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(request_table_test);
-  CPPUNIT_TEST(second_copy_attaches);
-  CPPUNIT_TEST(refused_call_never_runs_later);
-  CPPUNIT_TEST(attach_to_an_unseen_call_leaves_a_tombstone);
-  CPPUNIT_TEST(other_start_is_refused);
-  CPPUNIT_TEST(older_owner_is_refused);
-  CPPUNIT_TEST(late_copy_of_a_past_call_is_refused);
-  CPPUNIT_TEST(ended_program_runs_nothing_more);
-  CPPUNIT_TEST(unrepeatable_outcome_outlives_the_ordinary_expiry);
+  CPPUNIT_TEST(duplicate_request_attaches);
+  CPPUNIT_TEST(refused_request_never_runs_later);
+  CPPUNIT_TEST(attach_to_an_unknown_request_leaves_a_tombstone);
+  CPPUNIT_TEST(request_for_another_start_is_refused);
+  CPPUNIT_TEST(request_of_an_older_owner_is_refused);
+  CPPUNIT_TEST(duplicate_of_an_earlier_call_is_refused);
+  CPPUNIT_TEST(requests_of_an_ended_program_are_refused);
+  CPPUNIT_TEST(outcome_of_an_unrepeatable_call_is_kept_longer);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void second_copy_attaches() {
+  void duplicate_request_attaches() {
     check(table_verdict::run, make_request(1, 1));
     check(table_verdict::attach, make_request(1, 1));
     check(table_verdict::run, make_request(1, 2));
   }
 
-  void refused_call_never_runs_later() {
+  void refused_request_never_runs_later() {
     check(table_verdict::run, make_request(1, 1));
     table_.refuse({"p", 1, 1}, wire::Failure(), 0);
     check(table_verdict::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::tombstone);
   }
 
-  void attach_to_an_unseen_call_leaves_a_tombstone() {
+  void attach_to_an_unknown_request_leaves_a_tombstone() {
     wire::ExecuteRequest attach = make_request(1, 1);
     attach.set_attach_only(true);
     check(table_verdict::attach, attach);
-    // The copy that was delayed on its way comes now.
+    // The delayed original request arrives.
     check(table_verdict::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::tombstone);
   }
 
-  void other_start_is_refused() {
+  void request_for_another_start_is_refused() {
     check(table_verdict::refuse_start, make_request(1, 1, 1, "s0"));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1}) == nullptr);
   }
 
-  void older_owner_is_refused() {
+  void request_of_an_older_owner_is_refused() {
     check(table_verdict::run, make_request(1, 1, 5));
     check(table_verdict::refuse_term, make_request(2, 1, 4));
   }
 
-  void late_copy_of_a_past_call_is_refused() {
+  void duplicate_of_an_earlier_call_is_refused() {
     check(table_verdict::run, make_request(1, 1));
     table_.refuse({"p", 1, 1}, wire::Failure(), 0);
     check(table_verdict::run, make_request(2, 1));
-    // The tombstone is gone; the program's place in its order is not.
+    // The tombstone was removed, but the sequence number of the program's last
+    // call was kept.
     check(table_verdict::refuse_past, make_request(1, 1));
   }
 
-  void ended_program_runs_nothing_more() {
+  void requests_of_an_ended_program_are_refused() {
     check(table_verdict::run, make_request(1, 1));
     table_.close_program("p", 0);
     check(table_verdict::refuse_past, make_request(2, 1));
   }
 
-  void unrepeatable_outcome_outlives_the_ordinary_expiry() {
+  void outcome_of_an_unrepeatable_call_is_kept_longer() {
     check(table_verdict::run, make_request(1, 1));
     table_.finish({"p", 1, 1}, wire::ExecuteDone(), 100);
     table_.expire(1000, 50);
-    // Forgotten, it would be told as "not run".
+    // Without its entry it would be reported as not run.
     check(table_verdict::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::done);
   }
 
  private:
   void check(table_verdict expected, const wire::ExecuteRequest& request) {
-    const table_verdict seen = table_.arrive(request, 0);
-    TRAYROCK_CHECK(expected == seen, "expected "
-                                         << static_cast<int>(expected)
-                                         << ", seen " << static_cast<int>(seen)
-                                         << " for call " << request.sequence()
-                                         << " attempt " << request.attempt());
+    const table_verdict actual = table_.arrive(request, 0);
+    TRAYROCK_CHECK(expected == actual,
+                   "expected " << static_cast<int>(expected) << ", actual "
+                               << static_cast<int>(actual) << " for call "
+                               << request.sequence() << " attempt "
+                               << request.attempt());
   }
 
   request_table table_{"s1"};
