--- a/test/balance_test.cc
+++ b/test/balance_test.cc
@@ -1,4 +1,4 @@
-// Fair parts of shards, as a plan.
+// Checks that plans balance the number of shards per node.
 #include "trayrock/internal/decide/balance.h"
 
 #include "test_support.h"
@@ -16,13 +16,13 @@
 
 class balance_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(balance_test);
-  CPPUNIT_TEST(first_owner_serves_all_receivers_in_one_plan);
-  CPPUNIT_TEST(leaving_node_gives_all_away);
-  CPPUNIT_TEST(fair_parts_are_left_alone);
+  CPPUNIT_TEST(one_plan_covers_all_receivers);
+  CPPUNIT_TEST(leaving_node_hands_over_all_shards);
+  CPPUNIT_TEST(balanced_nodes_keep_their_shards);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void first_owner_serves_all_receivers_in_one_plan() {
+  void one_plan_covers_all_receivers() {
     owned_counts owned{{"self", 64}};
     for (int i = 1; i < 64; ++i) {
       owned["n" + std::to_string(i)] = 0;
@@ -36,13 +36,13 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{63}, receivers.size());
   }
 
-  void leaving_node_gives_all_away() {
+  void leaving_node_hands_over_all_shards() {
     const auto plan =
         plan_balance("self", shards(10), {{"a", 3}, {"b", 9}}, 22);
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, plan.size());
   }
 
-  void fair_parts_are_left_alone() {
+  void balanced_nodes_keep_their_shards() {
     CPPUNIT_ASSERT(
         plan_balance("self", shards(11), {{"self", 11}, {"a", 10}}, 21)
             .empty());
--- a/test/runner_queue_test.cc
+++ b/test/runner_queue_test.cc
@@ -1,4 +1,4 @@
-// What starts next at a runner, and what is refused.
+// Checks the order of an endpoint's queue and its admission control.
 #include "trayrock/internal/decide/runner_queue.h"
 
 #include "test_support.h"
@@ -17,9 +17,9 @@
   CPPUNIT_TEST_SUITE(runner_queue_test);
   CPPUNIT_TEST(least_attained_starts_first);
   CPPUNIT_TEST(waiting_outweighs_attained_service);
-  CPPUNIT_TEST(urgent_comes_first_and_batch_takes_the_gaps);
-  CPPUNIT_TEST(arrival_order_is_kept_by_the_baseline);
-  CPPUNIT_TEST(refuses_at_once_with_the_expected_wait);
+  CPPUNIT_TEST(urgent_starts_before_normal_before_batch);
+  CPPUNIT_TEST(arrival_order_ignores_class_and_service);
+  CPPUNIT_TEST(refuses_immediately_with_the_expected_wait);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -37,7 +37,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("long"), start(queue, 60000));
   }
 
-  void urgent_comes_first_and_batch_takes_the_gaps() {
+  void urgent_starts_before_normal_before_batch() {
     runner_queue queue({3, 100}, attained_order{});
     queue.offer(make_request("batch", 0, "batch"));
     queue.offer(make_request("normal", 500, "normal"));
@@ -47,23 +47,23 @@
     CPPUNIT_ASSERT_EQUAL(std::string("batch"), start(queue, 0));
   }
 
-  void arrival_order_is_kept_by_the_baseline() {
+  void arrival_order_ignores_class_and_service() {
     runner_queue queue({2, 100}, arrival_order{});
     queue.offer(make_request("first", 9000, "normal", 1));
     queue.offer(make_request("second", 0, "urgent", 2));
     CPPUNIT_ASSERT_EQUAL(std::string("first"), start(queue, 5));
   }
 
-  void refuses_at_once_with_the_expected_wait() {
+  void refuses_immediately_with_the_expected_wait() {
     runner_queue queue({1, 1}, attained_order{});
     queue.offer(make_request("a"));
     start(queue, 0);
     queue.ended(2000);
     queue.offer(make_request("b"));
     start(queue, 0);
-    queued_request hasty = make_request("c");
-    hasty.wait_limit_ms = 1000;
-    const auto too_long = queue.offer(hasty);
+    queued_request impatient = make_request("c");
+    impatient.wait_limit_ms = 1000;
+    const auto too_long = queue.offer(impatient);
     CPPUNIT_ASSERT(too_long.has_value() && !too_long->full);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, too_long->expected_wait_ms);
     queue.offer(make_request("d"));
