--- a/include/trayrock/internal/decide/program_book.h
+++ b/include/trayrock/internal/decide/program_book.h
@@ -36,7 +36,7 @@
   std::uint64_t reserved_tokens = 0;
   std::uint64_t reserved_calls = 0;
   std::uint64_t context_tokens = 0;   // length of the conversation
-  std::uint64_t attained_tokens = 0;  // tokens processed for the program
+  std::uint64_t attained_tokens = 0;  // computed tokens, cache hits excluded
   std::uint64_t recomputed_tokens = 0;
   std::uint64_t served_ms = 0;  // sum over calls, without the time between
   bool ended = false;
@@ -47,7 +47,7 @@
 
   std::uint64_t next_sequence() const { return turns.size() + 1; }
   bool in_call() const { return !turns.empty() && !turns.back().settled; }
-  const turn* find_key(std::string_view idempotency_key) const;
+  const turn* find_turn(std::string_view idempotency_key) const;
 
   // The conversation with the program's model, including its responses.
   std::vector<wire::Message> conversation() const;
--- a/src/decide/program_book.cc
+++ b/src/decide/program_book.cc
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-const turn* program_state::find_key(std::string_view idempotency_key) const {
+const turn* program_state::find_turn(std::string_view idempotency_key) const {
   const auto found =
       std::find_if(turns.rbegin(), turns.rend(), [&](const turn& each) {
         return each.intent.idempotency_key() == idempotency_key;
@@ -140,7 +140,7 @@
   intent.set_service(terms.service);
   intent.set_repeatable(terms.repeatable);
   intent.set_max_tokens(terms.max_tokens);
-  if (const turn* same = program.find_key(request.idempotency_key())) {
+  if (const turn* same = program.find_turn(request.idempotency_key())) {
     const bool differs =
         !request.whole_history() &&
         !same_messages(same->intent.messages(), request.messages());
