--- a/include/trayrock/internal/decide/routing.h
+++ b/include/trayrock/internal/decide/routing.h
@@ -41,9 +41,8 @@
 routing_policy routing_by_name(std::string_view name, double cache_weight);
 
 // The index of the chosen endpoint; nothing if there are no candidates.
-std::optional<std::size_t> choose_runner(const routing_policy& policy,
-                                         const routing_request& request,
-                                         std::span<const runner_view> runners,
-                                         std::mt19937_64& random);
+std::optional<std::size_t> choose_runner(
+    const routing_policy& policy, const routing_request& request,
+    std::span<const runner_view> candidates, std::mt19937_64& random);
 
 }  // namespace trayrock
--- a/src/decide/routing.cc
+++ b/src/decide/routing.cc
@@ -30,62 +30,62 @@
          std::pair(wait_of(right), load_of(right));
 }
 
-std::optional<std::size_t> find_prefix(const routing_request& request,
-                                       std::span<const runner_view> runners) {
-  for (std::size_t i = 0; i < runners.size(); ++i) {
-    if (runners[i].endpoint == request.prefix_endpoint) {
+std::optional<std::size_t> find_prefix(
+    const routing_request& request, std::span<const runner_view> candidates) {
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
+    if (candidates[i].endpoint == request.prefix_endpoint) {
       return i;
     }
   }
   return std::nullopt;
 }
 
-std::size_t least_loaded_index(std::span<const runner_view> runners) {
+std::size_t least_loaded_index(std::span<const runner_view> candidates) {
   const auto found =
-      std::min_element(runners.begin(), runners.end(), less_loaded);
-  return static_cast<std::size_t>(found - runners.begin());
+      std::min_element(candidates.begin(), candidates.end(), less_loaded);
+  return static_cast<std::size_t>(found - candidates.begin());
 }
 
 struct chooser {
   const routing_request& request;
-  std::span<const runner_view> runners;
+  std::span<const runner_view> candidates;
   std::mt19937_64& random;
 
   std::size_t operator()(const round_robin&) const {
-    return request.number % runners.size();
+    return request.number % candidates.size();
   }
   std::size_t operator()(const least_loaded&) const {
-    return least_loaded_index(runners);
+    return least_loaded_index(candidates);
   }
   std::size_t operator()(const prefix_affinity&) const {
-    const auto cached = find_prefix(request, runners);
-    return cached ? *cached : request.number % runners.size();
+    const auto cached = find_prefix(request, candidates);
+    return cached ? *cached : request.number % candidates.size();
   }
   std::size_t operator()(const balanced& policy) const {
     const std::size_t other = better_of_two();
-    const auto cached = find_prefix(request, runners);
+    const auto cached = find_prefix(request, candidates);
     if (!cached) {
       return other;
     }
-    const runner_view& holder = runners[*cached];
+    const runner_view& current = candidates[*cached];
     const double recompute_ms =
         ms_per_second * static_cast<double>(request.context_tokens) /
-        static_cast<double>(holder.prefill_tokens_per_second);
+        static_cast<double>(current.prefill_tokens_per_second);
     // At weight 0.5, waiting and recomputing cost the same per millisecond.
     const double factor =
         policy.cache_weight <= 0.5
             ? 2 * policy.cache_weight
             : 1 + (policy.cache_weight - 0.5) * 2 * (max_cache_factor - 1);
-    const double saved_wait_ms = wait_of(holder) - wait_of(runners[other]);
+    const double saved_wait_ms = wait_of(current) - wait_of(candidates[other]);
     return saved_wait_ms > recompute_ms * factor ? other : *cached;
   }
 
   // Power of two choices: avoids sending every call to the endpoint that an
   // outdated report shows as idle.
   std::size_t better_of_two() const {
-    const std::size_t first = random() % runners.size();
-    const std::size_t second = random() % runners.size();
-    return less_loaded(runners[second], runners[first]) ? second : first;
+    const std::size_t first = random() % candidates.size();
+    const std::size_t second = random() % candidates.size();
+    return less_loaded(candidates[second], candidates[first]) ? second : first;
   }
 };
 
@@ -104,14 +104,13 @@
   return balanced{cache_weight};
 }
 
-std::optional<std::size_t> choose_runner(const routing_policy& policy,
-                                         const routing_request& request,
-                                         std::span<const runner_view> runners,
-                                         std::mt19937_64& random) {
-  if (runners.empty()) {
+std::optional<std::size_t> choose_runner(
+    const routing_policy& policy, const routing_request& request,
+    std::span<const runner_view> candidates, std::mt19937_64& random) {
+  if (candidates.empty()) {
     return std::nullopt;
   }
-  return std::visit(chooser{request, runners, random}, policy);
+  return std::visit(chooser{request, candidates, random}, policy);
 }
 
 }  // namespace trayrock
