--- a/include/trayrock/internal/decide/copy_keeper.h
+++ b/include/trayrock/internal/decide/copy_buffer.h
@@ -17,11 +17,11 @@
 
 namespace trayrock {
 
-class copy_keeper {
+class copy_buffer {
  public:
   // `start` identifies this run of the process; messages for another run are
   // rejected. `limit_bytes` bounds the records of all journals together.
-  copy_keeper(std::string start, std::size_t limit_bytes);
+  copy_buffer(std::string start, std::size_t limit_bytes);
 
   // Stores records. Failures: errc::wrong_start, errc::journal_sealed after a
   // claim, errc::copy_space_full.
--- a/include/trayrock/internal/decide/declarations.h
+++ b/include/trayrock/internal/decide/declarations.h
@@ -133,7 +133,7 @@
 class config_store {
  public:
   std::uint64_t generation() const { return current_.generation; }
-  const configuration& whole() const { return current_; }
+  const configuration& current() const { return current_; }
 
   // Changes after generation `since`, including deletions.
   wire::ConfigDelta delta(std::uint64_t since) const;
@@ -142,8 +142,8 @@
   // after it; ignores any other. True if it was applied.
   bool adopt(const wire::ConfigDelta& delta);
 
-  const std::map<std::pair<std::string, std::string>, wire::Declaration>& held()
-      const {
+  const std::map<std::pair<std::string, std::string>, wire::Declaration>&
+  declarations() const {
     return declarations_;
   }
 
--- a/include/trayrock/internal/decide/journal_writer.h
+++ b/include/trayrock/internal/decide/journal_writer.h
@@ -75,7 +75,7 @@
   std::uint64_t append(wire::Record record, std::uint64_t now_ms);
 
   // Replaces the copy holder. No copies are sent until its name is stored.
-  void name_holder(const wire::CopyHolderNamed& holder, std::uint64_t now_ms);
+  void set_holder(const wire::CopyHolderNamed& holder, std::uint64_t now_ms);
 
   // Stops using the copy holder. Its copies are released once their records
   // are stored.
@@ -87,20 +87,20 @@
   journal_actions poll(std::uint64_t now_ms);
 
   // The result of a put_segment.
-  journal_actions put_answered(std::uint64_t number, put_outcome outcome,
-                               std::uint64_t now_ms);
+  journal_actions on_put_result(std::uint64_t number, put_outcome outcome,
+                                std::uint64_t now_ms);
 
   // The result of a read_segment; nothing if the segment is absent.
-  journal_actions read_answered(std::uint64_t number,
-                                const std::optional<wire::Segment>& found,
-                                std::uint64_t now_ms);
+  journal_actions on_read_result(std::uint64_t number,
+                                 const std::optional<wire::Segment>& found,
+                                 std::uint64_t now_ms);
 
   // The read_segment failed; it is retried after a delay.
-  void read_failed(std::uint64_t now_ms);
+  void on_read_failed(std::uint64_t now_ms);
 
   // The copy holder has the records up to this sequence number.
-  journal_actions copy_answered(std::uint64_t held_up_to);
-  void copy_failed(std::uint64_t now_ms);
+  journal_actions on_copy_ack(std::uint64_t held_up_to);
+  void on_copy_failed(std::uint64_t now_ms);
 
   void set_commit_interval(std::uint64_t interval_ms) {
     options_.commit_interval_ms = interval_ms;
@@ -113,7 +113,7 @@
   // Number of segments that are known to be stored.
   std::uint64_t segments() const { return next_segment_; }
   const std::optional<wire::CopyHolderNamed>& holder() const { return holder_; }
-  std::size_t waiting_bytes() const { return pending_bytes_; }
+  std::size_t pending_bytes() const { return pending_bytes_; }
 
   // Records not known to be stored, for a successor that requests them.
   std::vector<wire::Record> unstored() const;
@@ -172,8 +172,8 @@
 class journal_reader {
  public:
   // Returns the records with sequence numbers not read before.
-  std::vector<wire::Record> take(const wire::Segment& segment);
-  std::vector<wire::Record> take_tail(const std::vector<wire::Record>& records);
+  std::vector<wire::Record> read(const wire::Segment& segment);
+  std::vector<wire::Record> read_tail(const std::vector<wire::Record>& records);
 
   // The last copy holder named in the records that were read.
   const std::optional<wire::CopyHolderNamed>& holder() const { return holder_; }
--- a/include/trayrock/internal/decide/membership.h
+++ b/include/trayrock/internal/decide/membership.h
@@ -19,7 +19,7 @@
 
 namespace trayrock {
 
-struct member_view {
+struct peer_state {
   wire::Peer peer;
   std::uint64_t progress_ms = 0;  // when the heartbeat counter last increased
 };
@@ -34,26 +34,26 @@
 
   // Applies a received state of another process. True if the process is new,
   // has restarted, was marked as gone, or is no longer marked.
-  bool hear(const wire::Peer& update, std::uint64_t now_ms);
+  bool apply_update(const wire::Peer& update, std::uint64_t now_ms);
 
   // Marks watched nodes as gone if their heartbeat has not increased in time,
   // and returns those newly marked. If this process itself was paused, it
   // marks none and restarts the time limits.
-  std::vector<wire::Peer> judge(std::uint64_t now_ms,
-                                std::uint64_t suspect_after_ms);
+  std::vector<wire::Peer> detect_failures(std::uint64_t now_ms,
+                                          std::uint64_t suspect_after_ms);
 
   // All processes not marked as gone, except this one.
-  std::vector<const member_view*> others() const;
+  std::vector<const peer_state*> live_peers() const;
 
   // Sorted names of the nodes not marked as gone, this one included. Entry
   // processes are not listed.
   std::vector<std::string> live_nodes() const;
 
-  const member_view* find(std::string_view node) const;
+  const peer_state* find(std::string_view node) const;
 
   // The nodes that this one watches: it is one of the two nodes after them on
   // the hash ring.
-  std::vector<std::string> watched() const;
+  std::vector<std::string> watched_nodes() const;
 
   // This process's position among a node's watchers, from 0; nothing if it
   // doesn't watch the node.
@@ -65,7 +65,7 @@
 
   // States of up to `count` processes to send: recent changes first, then round
   // robin.
-  std::vector<wire::Peer> news(std::size_t count);
+  std::vector<wire::Peer> next_updates(std::size_t count);
 
  private:
   struct ring_position {
@@ -76,7 +76,7 @@
   std::vector<ring_position> ring_without(std::string_view excluded) const;
 
   wire::Peer self_;
-  std::map<std::string, member_view, std::less<>> members_;
+  std::map<std::string, peer_state, std::less<>> members_;
   std::vector<std::string> changed_;
   std::string last_sent_;
   std::uint64_t checked_ms_ = 0;
--- a/include/trayrock/internal/decide/request_table.h
+++ b/include/trayrock/internal/decide/request_table.h
@@ -39,12 +39,12 @@
   std::uint64_t changed_ms = 0;
 };
 
-enum class table_verdict {
+enum class request_decision {
   run,
   attach,
   refuse_start,  // meant for another run of this node
   refuse_term,   // a newer owner of the shard is known
-  refuse_past,   // the program has made a later call: a delayed duplicate
+  refuse_stale,  // the program has made a later call: a delayed duplicate
 };
 
 class request_table {
@@ -53,8 +53,8 @@
 
   // Decides on a request. A new one is added as running, or as a tombstone if
   // it may only attach. Records the term of its shard.
-  table_verdict arrive(const wire::ExecuteRequest& request,
-                       std::uint64_t now_ms);
+  request_decision register_request(const wire::ExecuteRequest& request,
+                                    std::uint64_t now_ms);
 
   request_entry* find(const request_key& key);
 
--- a/include/trayrock/internal/decide/retry_budget.h
+++ b/include/trayrock/internal/decide/retry_budget.h
@@ -20,7 +20,7 @@
     share_ = static_cast<double>(percent) / 100.0;
   }
 
-  void note_call() { available_ = std::min(reserve_, available_ + share_); }
+  void record_call() { available_ = std::min(reserve_, available_ + share_); }
 
   // Spends one retry; false if none is left.
   bool spend() {
--- a/include/trayrock/internal/decide/routing.h
+++ b/include/trayrock/internal/decide/routing.h
@@ -38,7 +38,7 @@
 using routing_policy =
     std::variant<round_robin, least_loaded, prefix_affinity, balanced>;
 
-routing_policy routing_by_name(std::string_view name, double cache_weight);
+routing_policy parse_routing_policy(std::string_view name, double cache_weight);
 
 // The index of the chosen endpoint; nothing if there are no candidates.
 std::optional<std::size_t> choose_runner(
--- a/include/trayrock/internal/decide/runner_queue.h
+++ b/include/trayrock/internal/decide/runner_queue.h
@@ -58,7 +58,7 @@
   std::optional<queued_request> start_next(std::uint64_t now_ms);
 
   // A running request finished.
-  void ended(std::uint64_t took_ms);
+  void on_finished(std::uint64_t took_ms);
 
   // Removes a request that has not started; false if there is none.
   bool remove(const request_key& key);
--- a/include/trayrock/internal/decide/shard_map.h
+++ b/include/trayrock/internal/decide/shard_map.h
@@ -59,14 +59,14 @@
 // same version if nothing is to change (another process made the change).
 
 // The first map of a deployment, in which one node owns all shards.
-wire::ShardMap first_map(std::uint32_t shards, const shard_owner& owner);
+wire::ShardMap make_initial_map(std::uint32_t shards, const shard_owner& owner);
 
 // Reassigns all shards of a sealed journal. `end_segment` is the number of the
 // segment with the seal.
-wire::ShardMap with_sealed_moved(const wire::ShardMap& stored,
-                                 const std::string& sealed_journal,
-                                 std::uint64_t end_segment,
-                                 const shard_owner& to);
+wire::ShardMap reassign_sealed_shards(const wire::ShardMap& stored,
+                                      const std::string& sealed_journal,
+                                      std::uint64_t end_segment,
+                                      const shard_owner& to);
 
 // Segments of a journal; `end` is one past the last.
 struct segment_range {
@@ -79,15 +79,15 @@
 
 // Reassigns shards that their owner hands over. The segments hold the complete
 // state of these shards.
-wire::ShardMap with_handed_over(const wire::ShardMap& stored,
+wire::ShardMap hand_over_shards(const wire::ShardMap& stored,
                                 const std::string& from_journal,
                                 const shard_receivers& receivers,
                                 segment_range segments);
 
 // Removes the sources of shards whose state is now in the owner's own journal.
-wire::ShardMap with_sources_read(const wire::ShardMap& stored,
-                                 const std::string& journal,
-                                 const std::set<std::uint32_t>& shards);
+wire::ShardMap remove_read_sources(const wire::ShardMap& stored,
+                                   const std::string& journal,
+                                   const std::set<std::uint32_t>& shards);
 
 // Journals that the map refers to, as an owner's journal or as a source.
 std::set<std::string> journals_in_use(const wire::ShardMap& stored);
--- a/src/decide/declarations.cc
+++ b/src/decide/declarations.cc
@@ -328,8 +328,8 @@
 }
 
 bool is_changed(const config_store& accepted, const wire::Declaration& each) {
-  const auto stored = accepted.held().find({each.kind(), each.name()});
-  if (stored == accepted.held().end()) {
+  const auto stored = accepted.declarations().find({each.kind(), each.name()});
+  if (stored == accepted.declarations().end()) {
     return !each.deleted();
   }
   return stored->second.object_version() < each.object_version() ||
@@ -342,7 +342,7 @@
                           const std::vector<wire::Declaration>& stored) {
   acceptance made;
   made.generation.set_number(accepted.generation() + 1);
-  configuration accepted_so_far = accepted.whole();
+  configuration accepted_so_far = accepted.current();
   std::vector<const wire::Declaration*> undecided;
   for (const wire::Declaration& each : stored) {
     if (is_changed(accepted, each)) {
--- a/src/decide/membership.cc
+++ b/src/decide/membership.cc
@@ -18,12 +18,12 @@
 
 membership::membership(wire::Peer self) : self_(std::move(self)) {}
 
-bool membership::hear(const wire::Peer& update, std::uint64_t now_ms) {
+bool membership::apply_update(const wire::Peer& update, std::uint64_t now_ms) {
   if (update.node().empty() || update.node() == self_.node()) {
     return false;
   }
   const auto [position, added] = members_.try_emplace(update.node());
-  member_view& known = position->second;
+  peer_state& known = position->second;
   const bool restarted = !added && known.peer.start() != update.start();
   if (restarted && update.gone()) {
     return false;
@@ -52,8 +52,8 @@
   return notable;
 }
 
-std::vector<wire::Peer> membership::judge(std::uint64_t now_ms,
-                                          std::uint64_t suspect_after_ms) {
+std::vector<wire::Peer> membership::detect_failures(
+    std::uint64_t now_ms, std::uint64_t suspect_after_ms) {
   const bool was_paused =
       checked_ms_ != 0 && now_ms - checked_ms_ > suspect_after_ms / 2;
   checked_ms_ = now_ms;
@@ -64,8 +64,8 @@
     }
     return newly_gone;
   }
-  for (const std::string& name : watched()) {
-    member_view& each = members_.find(name)->second;
+  for (const std::string& name : watched_nodes()) {
+    peer_state& each = members_.find(name)->second;
     if (each.progress_ms + suspect_after_ms < now_ms) {
       each.peer.set_gone(true);
       changed_.push_back(name);
@@ -75,8 +75,8 @@
   return newly_gone;
 }
 
-std::vector<const member_view*> membership::others() const {
-  std::vector<const member_view*> made;
+std::vector<const peer_state*> membership::live_peers() const {
+  std::vector<const peer_state*> made;
   for (const auto& [name, each] : members_) {
     if (!each.peer.gone()) {
       made.push_back(&each);
@@ -99,7 +99,7 @@
   return made;
 }
 
-const member_view* membership::find(std::string_view node) const {
+const peer_state* membership::find(std::string_view node) const {
   const auto found = members_.find(node);
   return found == members_.end() ? nullptr : &found->second;
 }
@@ -136,7 +136,7 @@
   return std::nullopt;
 }
 
-std::vector<std::string> membership::watched() const {
+std::vector<std::string> membership::watched_nodes() const {
   std::vector<std::string> made;
   if (self_.entry()) {
     return made;
@@ -171,7 +171,7 @@
   return earlier < config_watchers_per_data_centre;
 }
 
-std::vector<wire::Peer> membership::news(std::size_t count) {
+std::vector<wire::Peer> membership::next_updates(std::size_t count) {
   std::vector<wire::Peer> made;
   while (!changed_.empty() && made.size() < count / 2) {
     const auto found = members_.find(changed_.back());
--- a/src/decide/program_book.cc
+++ b/src/decide/program_table.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/decide/program_book.h"
+#include "trayrock/internal/decide/program_table.h"
 
 #include <algorithm>
 
@@ -83,18 +83,19 @@
   return made;
 }
 
-const program_state* program_book::find(std::string_view program) const {
+const program_state* program_table::find(std::string_view program) const {
   const auto found = programs_.find(std::string(program));
   return found == programs_.end() ? nullptr : &found->second;
 }
 
-program_state* program_book::find_mutable(std::string_view program) {
+program_state* program_table::find_mutable(std::string_view program) {
   const auto found = programs_.find(std::string(program));
   return found == programs_.end() ? nullptr : &found->second;
 }
 
-std::variant<const program_state*, wire::Failure> program_book::find_for(
-    std::string_view program, std::string_view member) const {
+std::variant<const program_state*, wire::Failure>
+program_table::find_for_workspace(std::string_view program,
+                                  std::string_view member) const {
   const program_state* found = find(program);
   if (found == nullptr) {
     return make_failure(errc::unknown_program, wire::RAN_NO);
@@ -105,7 +106,7 @@
   return found;
 }
 
-wire::Failure program_book::check_open(const wire::ProgramSpec& spec) const {
+wire::Failure program_table::check_open(const wire::ProgramSpec& spec) const {
   const program_state* existing = find(spec.id());
   if (existing != nullptr && existing->spec.member() != spec.member()) {
     return make_failure(errc::wrong_member, wire::RAN_NO);
@@ -126,10 +127,10 @@
   return {};
 }
 
-call_decision program_book::admit(const wire::CallRequest& request,
-                                  const call_terms& terms,
-                                  std::uint64_t now_ms) const {
-  const auto owned = find_for(request.program(), request.member());
+call_decision program_table::admit(const wire::CallRequest& request,
+                                   const call_settings& terms,
+                                   std::uint64_t now_ms) const {
+  const auto owned = find_for_workspace(request.program(), request.member());
   if (const auto* failure = std::get_if<wire::Failure>(&owned)) {
     return refuse_call{*failure};
   }
@@ -191,9 +192,9 @@
   return start_call{std::move(intent)};
 }
 
-wire::Failure program_book::check_budget(const program_state& program,
-                                         std::uint64_t tokens,
-                                         std::uint64_t now_ms) const {
+wire::Failure program_table::check_budget(const program_state& program,
+                                          std::uint64_t tokens,
+                                          std::uint64_t now_ms) const {
   const program_state* root = find(root_of(program.spec.id()));
   for (const program_state* each : {&program, root}) {
     if (each == nullptr) {
@@ -221,7 +222,7 @@
   return {};
 }
 
-void program_book::apply(const wire::Record& record) {
+void program_table::apply(const wire::Record& record) {
   switch (record.body_case()) {
     case wire::Record::kOpened: {
       const wire::ProgramSpec& spec = record.opened();
@@ -250,7 +251,7 @@
   }
 }
 
-std::vector<program_state*> program_book::chargeable(program_state& program) {
+std::vector<program_state*> program_table::chargeable(program_state& program) {
   std::vector<program_state*> made{&program};
   program_state* root = find_mutable(root_of(program.spec.id()));
   if (root != nullptr && root != &program) {
@@ -259,8 +260,8 @@
   return made;
 }
 
-void program_book::reserve(program_state& program,
-                           const wire::CallIntent& intent, bool release) {
+void program_table::reserve(program_state& program,
+                            const wire::CallIntent& intent, bool release) {
   for (program_state* each : chargeable(program)) {
     if (release) {
       each->reserved_tokens -= intent.reserved_tokens();
@@ -272,14 +273,14 @@
   }
 }
 
-void program_book::charge(program_state& program, std::uint64_t tokens) {
+void program_table::charge(program_state& program, std::uint64_t tokens) {
   for (program_state* each : chargeable(program)) {
     each->used_tokens += tokens;
     each->used_calls += 1;
   }
 }
 
-void program_book::apply_intent(const wire::CallIntent& intent) {
+void program_table::apply_intent(const wire::CallIntent& intent) {
   program_state* program = find_mutable(intent.program());
   if (program == nullptr) {
     return;
@@ -301,7 +302,7 @@
   }
 }
 
-void program_book::apply_outcome(const wire::CallOutcome& outcome) {
+void program_table::apply_outcome(const wire::CallOutcome& outcome) {
   program_state* program = find_mutable(outcome.program());
   if (program == nullptr || !program->in_call() ||
       program->turns.back().intent.sequence() != outcome.sequence()) {
@@ -335,7 +336,7 @@
   }
 }
 
-void program_book::apply_snapshot(const wire::ProgramSnapshot& snapshot) {
+void program_table::apply_snapshot(const wire::ProgramSnapshot& snapshot) {
   program_state& program = programs_[snapshot.spec().id()];
   program = program_state{};
   program.spec = snapshot.spec();
@@ -364,8 +365,8 @@
   }
 }
 
-wire::Record program_book::snapshot(const program_state& program,
-                                    std::uint32_t shard) {
+wire::Record program_table::snapshot(const program_state& program,
+                                     std::uint32_t shard) {
   wire::Record record;
   record.set_shard(shard);
   wire::ProgramSnapshot& made = *record.mutable_snapshot();
@@ -383,7 +384,7 @@
   return record;
 }
 
-std::vector<const program_state*> program_book::in_shard(
+std::vector<const program_state*> program_table::in_shard(
     std::uint32_t shard, std::uint32_t shards) const {
   std::vector<const program_state*> made;
   for (const auto& [id, each] : programs_) {
@@ -399,7 +400,7 @@
   return made;
 }
 
-std::vector<std::string> program_book::ids() const {
+std::vector<std::string> program_table::ids() const {
   std::vector<std::string> made;
   made.reserve(programs_.size());
   for (const auto& [id, each] : programs_) {
@@ -408,7 +409,7 @@
   return made;
 }
 
-void program_book::forget(std::string_view program) {
+void program_table::remove(std::string_view program) {
   programs_.erase(std::string(program));
 }
 
--- a/src/decide/request_table.cc
+++ b/src/decide/request_table.cc
@@ -9,31 +9,31 @@
   return {request.program(), request.sequence(), request.attempt()};
 }
 
-table_verdict request_table::arrive(const wire::ExecuteRequest& request,
-                                    std::uint64_t now_ms) {
+request_decision request_table::register_request(
+    const wire::ExecuteRequest& request, std::uint64_t now_ms) {
   if (request.target_start() != start_) {
-    return table_verdict::refuse_start;
+    return request_decision::refuse_start;
   }
   if (!accept_term(request.shard(), request.term())) {
-    return table_verdict::refuse_term;
+    return request_decision::refuse_term;
   }
   const auto floor = floors_.find(request.program());
   if (floor != floors_.end() && request.sequence() < floor->second.sequence) {
-    return table_verdict::refuse_past;
+    return request_decision::refuse_stale;
   }
   raise_floor(request.program(), request.sequence(), now_ms);
   const auto [entry, added] = entries_.try_emplace(key_of(request));
   if (!added) {
-    return table_verdict::attach;
+    return request_decision::attach;
   }
   entry->second.changed_ms = now_ms;
   entry->second.repeatable = request.repeatable();
   if (request.attach_only()) {
     entry->second.state = request_state::tombstone;
     entry->second.failure = make_failure(errc::runner_failed, wire::RAN_NO);
-    return table_verdict::attach;
+    return request_decision::attach;
   }
-  return table_verdict::run;
+  return request_decision::run;
 }
 
 request_entry* request_table::find(const request_key& key) {
--- a/test/request_table_test.cc
+++ b/test/request_table_test.cc
@@ -34,64 +34,64 @@
 
  public:
   void duplicate_request_attaches() {
-    check(table_verdict::run, make_request(1, 1));
-    check(table_verdict::attach, make_request(1, 1));
-    check(table_verdict::run, make_request(1, 2));
+    check(request_decision::run, make_request(1, 1));
+    check(request_decision::attach, make_request(1, 1));
+    check(request_decision::run, make_request(1, 2));
   }
 
   void refused_request_never_runs_later() {
-    check(table_verdict::run, make_request(1, 1));
+    check(request_decision::run, make_request(1, 1));
     table_.refuse({"p", 1, 1}, wire::Failure(), 0);
-    check(table_verdict::attach, make_request(1, 1));
+    check(request_decision::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::tombstone);
   }
 
   void attach_to_an_unknown_request_leaves_a_tombstone() {
     wire::ExecuteRequest attach = make_request(1, 1);
     attach.set_attach_only(true);
-    check(table_verdict::attach, attach);
+    check(request_decision::attach, attach);
     // The delayed original request arrives.
-    check(table_verdict::attach, make_request(1, 1));
+    check(request_decision::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::tombstone);
   }
 
   void request_for_another_start_is_refused() {
-    check(table_verdict::refuse_start, make_request(1, 1, 1, "s0"));
+    check(request_decision::refuse_start, make_request(1, 1, 1, "s0"));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1}) == nullptr);
   }
 
   void request_of_an_older_owner_is_refused() {
-    check(table_verdict::run, make_request(1, 1, 5));
-    check(table_verdict::refuse_term, make_request(2, 1, 4));
+    check(request_decision::run, make_request(1, 1, 5));
+    check(request_decision::refuse_term, make_request(2, 1, 4));
   }
 
   void duplicate_of_an_earlier_call_is_refused() {
-    check(table_verdict::run, make_request(1, 1));
+    check(request_decision::run, make_request(1, 1));
     table_.refuse({"p", 1, 1}, wire::Failure(), 0);
-    check(table_verdict::run, make_request(2, 1));
+    check(request_decision::run, make_request(2, 1));
     // The tombstone was removed, but the sequence number of the program's last
     // call was kept.
-    check(table_verdict::refuse_past, make_request(1, 1));
+    check(request_decision::refuse_stale, make_request(1, 1));
   }
 
   void requests_of_an_ended_program_are_refused() {
-    check(table_verdict::run, make_request(1, 1));
+    check(request_decision::run, make_request(1, 1));
     table_.close_program("p", 0);
-    check(table_verdict::refuse_past, make_request(2, 1));
+    check(request_decision::refuse_stale, make_request(2, 1));
   }
 
   void outcome_of_an_unrepeatable_call_is_kept_longer() {
-    check(table_verdict::run, make_request(1, 1));
+    check(request_decision::run, make_request(1, 1));
     table_.finish({"p", 1, 1}, wire::ExecuteDone(), 100);
     table_.expire(1000, 50);
     // Without its entry it would be reported as not run.
-    check(table_verdict::attach, make_request(1, 1));
+    check(request_decision::attach, make_request(1, 1));
     CPPUNIT_ASSERT(table_.find({"p", 1, 1})->state == request_state::done);
   }
 
  private:
-  void check(table_verdict expected, const wire::ExecuteRequest& request) {
-    const table_verdict actual = table_.arrive(request, 0);
+  void check(request_decision expected, const wire::ExecuteRequest& request) {
+    const request_decision actual = table_.register_request(request, 0);
     TRAYROCK_CHECK(expected == actual,
                    "expected " << static_cast<int>(expected) << ", actual "
                                << static_cast<int>(actual) << " for call "
