--- a/include/trayrock/internal/decide/program_table.h
+++ b/include/trayrock/internal/decide/program_table.h
@@ -5,9 +5,9 @@
 // deciding on a request doesn't change the state.
 //
 // Example:
-//   program_table book;
-//   book.apply(record);
-//   call_decision decision = book.admit(request, terms, now);
+//   program_table programs;
+//   programs.apply(record);
+//   call_decision decision = programs.admit(request, settings, now);
 #pragma once
 
 #include <cstdint>
@@ -86,7 +86,8 @@
 
   // Decides whether a call starts; doesn't change the state.
   call_decision admit(const wire::CallRequest& request,
-                      const call_settings& terms, std::uint64_t now_ms) const;
+                      const call_settings& settings,
+                      std::uint64_t now_ms) const;
 
   // Checks whether a program may be opened; the failure's code is zero if so.
   wire::Failure check_open(const wire::ProgramSpec& spec) const;
--- a/include/trayrock/internal/decide/tail_recovery.h
+++ b/include/trayrock/internal/decide/tail_recovery.h
@@ -28,21 +28,21 @@
   continue_without_tail,  // both stopped: records that were not stored are lost
 };
 
-inline tail_step next_tail_step(const tail_state& view) {
-  if (!view.holder_named) {
+inline tail_step next_tail_step(const tail_state& state) {
+  if (!state.holder_named) {
     return tail_step::no_tail;
   }
-  if (view.holder == tail_reply::received ||
-      view.owner == tail_reply::received) {
+  if (state.holder == tail_reply::received ||
+      state.owner == tail_reply::received) {
     return tail_step::apply_tail;
   }
-  const bool holder_gone =
-      view.holder_box_removed || view.holder == tail_reply::other_start;
-  if (!holder_gone) {
+  const bool holder_stopped =
+      state.holder_box_removed || state.holder == tail_reply::other_start;
+  if (!holder_stopped) {
     return tail_step::request_from_holder;
   }
   const bool owner_stopped =
-      view.owner_stopped || view.owner == tail_reply::other_start;
+      state.owner_stopped || state.owner == tail_reply::other_start;
   return owner_stopped ? tail_step::continue_without_tail
                        : tail_step::request_from_owner;
 }
--- a/src/decide/program_table.cc
+++ b/src/decide/program_table.cc
@@ -128,7 +128,7 @@
 }
 
 call_decision program_table::admit(const wire::CallRequest& request,
-                                   const call_settings& terms,
+                                   const call_settings& settings,
                                    std::uint64_t now_ms) const {
   const auto owned = find_for_workspace(request.program(), request.member());
   if (const auto* failure = std::get_if<wire::Failure>(&owned)) {
@@ -138,9 +138,9 @@
   wire::CallIntent intent;
   intent.set_program(request.program());
   intent.set_idempotency_key(request.idempotency_key());
-  intent.set_service(terms.service);
-  intent.set_repeatable(terms.repeatable);
-  intent.set_max_tokens(terms.max_tokens);
+  intent.set_service(settings.service);
+  intent.set_repeatable(settings.repeatable);
+  intent.set_max_tokens(settings.max_tokens);
   if (const turn* same = program.find_turn(request.idempotency_key())) {
     const bool differs =
         !request.whole_history() &&
@@ -179,11 +179,11 @@
   intent.set_sequence(next);
   intent.set_attempt(program.dropped_attempts);
   const std::uint64_t context =
-      terms.conversational ? program.context_tokens : 0;
-  intent.set_reserved_tokens(terms.max_tokens == 0
+      settings.conversational ? program.context_tokens : 0;
+  intent.set_reserved_tokens(settings.max_tokens == 0
                                  ? 0
                                  : context + max_tokens_of(intent.messages()) +
-                                       terms.max_tokens);
+                                       settings.max_tokens);
   const wire::Failure exceeded =
       check_budget(program, intent.reserved_tokens(), now_ms);
   if (exceeded.code() != 0) {
--- a/test/ownership_model_test.cc
+++ b/test/ownership_model_test.cc
@@ -36,7 +36,7 @@
  public:
   takeover_model(std::uint64_t seed, disabled_step disabled)
       : random_(seed), disabled_(disabled), writer_("owner", options()) {
-    keeper_ = std::make_unique<copy_buffer>("holder-1", 1U << 20);
+    copies_ = std::make_unique<copy_buffer>("holder-1", 1U << 20);
     wire::CopyHolderNamed holder;
     holder.set_node("holder");
     holder.set_start("holder-1");
@@ -72,7 +72,7 @@
         break;
       case 4:
         if (chance(4)) {
-          keeper_ = std::make_unique<copy_buffer>("holder-2", 1U << 20);
+          copies_ = std::make_unique<copy_buffer>("holder-2", 1U << 20);
           holder_restarted_ = true;
         }
         break;
@@ -180,7 +180,7 @@
       writer_.on_copy_failed(now_);
       return;
     }
-    const wire::CopyAck ack = keeper_->append(message);
+    const wire::CopyAck ack = copies_->append(message);
     if (ack.failure().code() != 0 || chance(10)) {
       writer_.on_copy_failed(now_);
       return;
@@ -276,14 +276,14 @@
     claim.set_holder_start("holder-1");
     if (disabled_ == disabled_step::seal_copies) {
       // Reads the tail without sealing the journal at the holder.
-      copy_buffer copy = *keeper_;
+      copy_buffer copy = *copies_;
       claim.set_journal("owner");
       received_ = copy.claim(claim);
     } else {
-      received_ = keeper_->claim(claim);
+      received_ = copies_->claim(claim);
     }
     if (disabled_ == disabled_step::keep_until_durable) {
-      keeper_->release("owner");
+      copies_->release("owner");
     }
     tail_.holder = received_.other_start() ? tail_reply::other_start
                                            : tail_reply::received;
@@ -307,7 +307,7 @@
   std::mt19937_64 random_;
   disabled_step disabled_;
   journal_writer writer_;
-  std::unique_ptr<copy_buffer> keeper_;
+  std::unique_ptr<copy_buffer> copies_;
   segment_map segments_;
   std::vector<std::pair<std::uint64_t, wire::Segment>> delayed_;
   std::uint64_t now_ = 1;
--- a/test/program_table_test.cc
+++ b/test/program_table_test.cc
@@ -113,7 +113,7 @@
     apply_intent(intent);
     settle("p", 1, wire::RAN_NO);
     const call_decision again =
-        programs_.admit(make_request("p", 1, "x"), terms(), 0);
+        programs_.admit(make_request("p", 1, "x"), settings(), 0);
     CPPUNIT_ASSERT(std::holds_alternative<start_call>(again));
     // The keys of used attempts may be tombstones at the endpoints' nodes.
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{3},
@@ -152,7 +152,7 @@
   }
 
  private:
-  static call_settings terms() {
+  static call_settings settings() {
     call_settings made;
     made.service = "assistant";
     made.max_tokens = 50;
@@ -175,7 +175,7 @@
   }
 
   wire::CallIntent begin(const wire::CallRequest& request) {
-    const call_decision decision = programs_.admit(request, terms(), 0);
+    const call_decision decision = programs_.admit(request, settings(), 0);
     CPPUNIT_ASSERT(std::holds_alternative<start_call>(decision));
     wire::CallIntent intent = std::get<start_call>(decision).intent;
     intent.set_attempt(1);
@@ -203,7 +203,7 @@
   }
 
   int refusal(const wire::CallRequest& request, std::uint64_t now = 0) {
-    const call_decision decision = programs_.admit(request, terms(), now);
+    const call_decision decision = programs_.admit(request, settings(), now);
     const auto* refused = std::get_if<refuse_call>(&decision);
     return refused == nullptr ? 0 : static_cast<int>(refused->failure.code());
   }
