--- a/include/trayrock/internal/decide/retry_budget.h
+++ b/include/trayrock/internal/decide/retry_budget.h
@@ -23,7 +23,7 @@
   void record_call() { available_ = std::min(reserve_, available_ + share_); }
 
   // Spends one retry; false if none is left.
-  bool spend() {
+  bool try_spend() {
     if (available_ < 1 || share_ == 0) {
       return false;
     }
--- a/include/trayrock/internal/decide/routing.h
+++ b/include/trayrock/internal/decide/routing.h
@@ -12,7 +12,7 @@
 namespace trayrock {
 
 // The state of a candidate endpoint, as known to the owner.
-struct runner_view {
+struct endpoint_candidate {
   std::string endpoint;
   std::uint64_t expected_wait_ms = 0;
   std::uint64_t report_age_ms = 0;      // age of the last report
@@ -41,8 +41,8 @@
 routing_policy parse_routing_policy(std::string_view name, double cache_weight);
 
 // The index of the chosen endpoint; nothing if there are no candidates.
-std::optional<std::size_t> choose_runner(
+std::optional<std::size_t> select_endpoint(
     const routing_policy& policy, const routing_request& request,
-    std::span<const runner_view> candidates, std::mt19937_64& random);
+    std::span<const endpoint_candidate> candidates, std::mt19937_64& random);
 
 }  // namespace trayrock
--- a/src/decide/program_table.cc
+++ b/src/decide/program_table.cc
@@ -160,7 +160,7 @@
   const std::uint64_t requested =
       request.sequence() == 0 ? next : request.sequence();
   if (requested < next) {
-    return requested + 1 == next && program.in_call()
+    return requested + 1 == next && program.has_call_in_progress()
                ? refused(errc::call_in_progress)
                : refused(errc::sequence_in_past,
                          "next is " + std::to_string(next));
@@ -168,7 +168,7 @@
   if (requested > next) {
     return refused(errc::sequence_in_future, "next is " + std::to_string(next));
   }
-  if (program.in_call()) {
+  if (program.has_call_in_progress()) {
     return refused(errc::call_in_progress);
   }
   if (!request.whole_history()) {
@@ -285,13 +285,14 @@
   if (program == nullptr) {
     return;
   }
-  if (intent.sequence() == program->next_sequence() && !program->in_call()) {
+  if (intent.sequence() == program->next_sequence() &&
+      !program->has_call_in_progress()) {
     program->turns.push_back({intent, {}, false});
     reserve(*program, intent, false);
     return;
   }
   // Another attempt of the same call: only its destination changes.
-  if (program->in_call() &&
+  if (program->has_call_in_progress() &&
       program->turns.back().intent.sequence() == intent.sequence() &&
       program->turns.back().intent.attempt() < intent.attempt()) {
     wire::CallIntent& current = program->turns.back().intent;
@@ -304,7 +305,7 @@
 
 void program_table::apply_outcome(const wire::CallOutcome& outcome) {
   program_state* program = find_mutable(outcome.program());
-  if (program == nullptr || !program->in_call() ||
+  if (program == nullptr || !program->has_call_in_progress() ||
       program->turns.back().intent.sequence() != outcome.sequence()) {
     return;
   }
--- a/src/decide/routing.cc
+++ b/src/decide/routing.cc
@@ -12,7 +12,7 @@
 // Weight of a prefix's recompute time against wait at cache_weight 1.
 constexpr double max_cache_factor = 8;
 
-double wait_of(const runner_view& each) {
+double wait_of(const endpoint_candidate& each) {
   const bool busy = each.running + each.sent_since_report >= each.slots;
   const double unreported =
       busy ? unreported_call_ms * static_cast<double>(each.sent_since_report)
@@ -20,18 +20,20 @@
   return static_cast<double>(each.expected_wait_ms) + unreported;
 }
 
-double load_of(const runner_view& each) {
+double load_of(const endpoint_candidate& each) {
   return static_cast<double>(each.running + each.sent_since_report) /
          static_cast<double>(each.slots);
 }
 
-bool less_loaded(const runner_view& left, const runner_view& right) {
+bool less_loaded(const endpoint_candidate& left,
+                 const endpoint_candidate& right) {
   return std::pair(wait_of(left), load_of(left)) <
          std::pair(wait_of(right), load_of(right));
 }
 
 std::optional<std::size_t> find_prefix(
-    const routing_request& request, std::span<const runner_view> candidates) {
+    const routing_request& request,
+    std::span<const endpoint_candidate> candidates) {
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     if (candidates[i].endpoint == request.prefix_endpoint) {
       return i;
@@ -40,7 +42,7 @@
   return std::nullopt;
 }
 
-std::size_t least_loaded_index(std::span<const runner_view> candidates) {
+std::size_t least_loaded_index(std::span<const endpoint_candidate> candidates) {
   const auto found =
       std::min_element(candidates.begin(), candidates.end(), less_loaded);
   return static_cast<std::size_t>(found - candidates.begin());
@@ -48,7 +50,7 @@
 
 struct chooser {
   const routing_request& request;
-  std::span<const runner_view> candidates;
+  std::span<const endpoint_candidate> candidates;
   std::mt19937_64& random;
 
   std::size_t operator()(const round_robin&) const {
@@ -67,7 +69,7 @@
     if (!cached) {
       return other;
     }
-    const runner_view& current = candidates[*cached];
+    const endpoint_candidate& current = candidates[*cached];
     const double recompute_ms =
         ms_per_second * static_cast<double>(request.context_tokens) /
         static_cast<double>(current.prefill_tokens_per_second);
@@ -105,9 +107,9 @@
   return balanced{cache_weight};
 }
 
-std::optional<std::size_t> choose_runner(
+std::optional<std::size_t> select_endpoint(
     const routing_policy& policy, const routing_request& request,
-    std::span<const runner_view> candidates, std::mt19937_64& random) {
+    std::span<const endpoint_candidate> candidates, std::mt19937_64& random) {
   if (candidates.empty()) {
     return std::nullopt;
   }
