--- a/include/trayrock/internal/decide/tail_recovery.h
+++ b/include/trayrock/internal/decide/tail_recovery.h
@@ -1,47 +1,48 @@
-// Where a successor gets the records that were acknowledged and not stored.
+// How a successor recovers the tail of a journal: records that were
+// acknowledged but not stored.
 //
-// The copy holder has them. Being out of reach is not being gone: a paused
-// owner may hold records that were acknowledged and never stored. Only when
-// the holder's start is gone does the successor ask the old owner, and only
-// when that start is gone as well does it go on without.
+// The copy holder has the tail. The successor requests it from the old owner
+// only if the holder's process has stopped, and continues without it only if
+// the owner's has stopped too. A process that is merely unreachable may be
+// paused and still have acknowledged records.
 #pragma once
 
 namespace trayrock {
 
-// What asking a process for the tail gave.
+// The result of requesting the tail from a process.
 enum class tail_reply { not_requested, unreachable, other_start, received };
 
 struct tail_state {
-  bool holder_named = false;        // in what was read of the journal
-  bool holder_box_removed = false;  // by the platform's box list
+  bool holder_named = false;        // in the segments that were read
+  bool holder_box_removed = false;  // from the platform's list of boxes
   tail_reply holder = tail_reply::not_requested;
-  bool owner_stopped = false;  // its box is gone, or it runs under a new start
+  bool owner_stopped = false;  // its box was removed, or it restarted
   tail_reply owner = tail_reply::not_requested;
 };
 
 enum class tail_step {
   no_tail,                // no copies were ever made
-  request_from_holder,    // (again)
-  request_from_owner,     // (again)
-  apply_tail,             // what was given is all there is
-  continue_without_tail,  // both are gone; what was not stored is lost
+  request_from_holder,    // repeated while it is unreachable
+  request_from_owner,     // repeated while it is unreachable
+  apply_tail,             // the received tail is complete
+  continue_without_tail,  // both stopped: records that were not stored are lost
 };
 
-inline tail_step next_tail_step(const tail_state& view) {
-  if (!view.holder_named) {
+inline tail_step next_tail_step(const tail_state& state) {
+  if (!state.holder_named) {
     return tail_step::no_tail;
   }
-  if (view.holder == tail_reply::received ||
-      view.owner == tail_reply::received) {
+  if (state.holder == tail_reply::received ||
+      state.owner == tail_reply::received) {
     return tail_step::apply_tail;
   }
-  const bool holder_gone =
-      view.holder_box_removed || view.holder == tail_reply::other_start;
-  if (!holder_gone) {
+  const bool holder_stopped =
+      state.holder_box_removed || state.holder == tail_reply::other_start;
+  if (!holder_stopped) {
     return tail_step::request_from_holder;
   }
   const bool owner_stopped =
-      view.owner_stopped || view.owner == tail_reply::other_start;
+      state.owner_stopped || state.owner == tail_reply::other_start;
   return owner_stopped ? tail_step::continue_without_tail
                        : tail_step::request_from_owner;
 }
