--- a/include/trayrock/internal/gateway/chain_cache.h
+++ b/include/trayrock/internal/gateway/chain_cache.h
@@ -1,7 +1,7 @@
-// Texts of recent chains of turns, by the attempt that ended the chain.
+// LRU cache of the texts of chains of turns, by the chain's last attempt.
 //
-// Bounded by bytes; the chains that were unused for the longest go first. A
-// chain is immutable, so a copy is right for as long as the turn is retained.
+// Bounded in bytes. A chain is immutable, so a cached copy is valid for as long
+// as the turn is retained.
 //
 // Example:
 //   chain_cache chains(1U << 20);
@@ -28,10 +28,10 @@
 
   explicit chain_cache(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Keeps a chain until the given time of the caller's steady clock.
-  void put(const std::string& attempt, chain_ptr held, std::uint64_t until_ms);
+  // Caches a chain until the given time of the caller's steady clock.
+  void put(const std::string& attempt, chain_ptr added, std::uint64_t until_ms);
 
-  // The chain, or nullptr.
+  // nullptr if not cached.
   chain_ptr find(const std::string& attempt, std::uint64_t now_ms);
 
   std::size_t bytes() const { return bytes_; }
@@ -39,7 +39,7 @@
  private:
   struct entry {
     std::string attempt;
-    chain_ptr held;
+    chain_ptr value;
     std::uint64_t until_ms = 0;
   };
   using entry_list = std::list<entry>;
@@ -48,7 +48,7 @@
 
   std::size_t max_bytes_;
   std::size_t bytes_ = 0;
-  entry_list entries_;  // the last used first
+  entry_list entries_;  // most recently used first
   std::unordered_map<std::string, entry_list::iterator> by_attempt_;
 };
 
--- a/include/trayrock/internal/gateway/configuration.h
+++ b/include/trayrock/internal/gateway/configuration.h
@@ -1,7 +1,7 @@
-// What the operator has configured, as the gateway uses it.
+// The operator's configuration, decoded by the platform adapter.
 //
 // A configuration is immutable and shared: a request keeps the one that it
-// began with. The platform's adapter decodes it.
+// began with.
 //
 // Example:
 //   const route* found = find_route(configuration, host, path);
@@ -27,7 +27,7 @@
 enum class repetition {
   repeatable,  // any number of times
   once,        // at most once
-  stream       // at most once unless resumable; the answer is events
+  stream       // at most once unless resumable; responds with events
 };
 
 struct weighted_service {
@@ -40,21 +40,21 @@
   std::string host;
   std::string path_prefix;  // begins and ends with a slash
   repetition kind = repetition::once;
-  std::chrono::milliseconds timeout{0};            // longest time held
-  std::chrono::milliseconds latency_objective{0};  // for the full credit
-  std::uint32_t rank = 0;                          // 0 is the most urgent
+  std::chrono::milliseconds timeout{0};
+  std::chrono::milliseconds latency_objective{0};
+  std::uint32_t rank = 0;  // 0 is the most urgent
   std::vector<weighted_service> services;
-  std::uint32_t max_endpoints = 1;  // endpoints that may be tried
+  std::uint32_t max_endpoints = 1;  // to which a request may be sent
   bool keeps_history = false;
   std::chrono::seconds retention{0};
-  // A stream may go on at another endpoint behind an event; it is idempotent.
+  // Streams are idempotent and may be resumed elsewhere after any event.
   bool resumable = false;
-  bool open_to_all = false;  // no key is asked for
-  // Longest pause between events that keeps a stream in time; 0: none named.
+  bool open_to_all = false;  // requires no key
+  // Objective for the time between events of a stream; 0: none.
   std::chrono::milliseconds longest_pause{0};
 };
 
-// What is known of the model engines of a service.
+// Of the model engines of a service.
 struct engine_limits {
   std::uint32_t batch = 0;
   std::uint64_t memory_tokens = 0;
@@ -68,7 +68,7 @@
   std::optional<engine_limits> engine;
 };
 
-// Bounds on what a client may send and how long it may rest.
+// Bounds on what a client may send and how long it may be idle.
 struct client_limits {
   std::size_t max_header_bytes = 16384;
   std::size_t max_body_bytes = 4194304;
@@ -81,30 +81,30 @@
   std::vector<route> routes;
   std::map<std::string, service, std::less<>> services;
   client_limits limits;
-  // Nothing: requests carry no keys and belong to nobody.
+  // Nothing: requests need no keys and belong to no workspace.
   std::optional<workspace_table> workspaces;
 };
 using configuration_ptr = std::shared_ptr<const configuration>;
 
-// One instance of a back end.
+// One instance of an endpoint.
 struct endpoint {
   endpoint_identity identity;
   std::string service;
   std::string address;  // A.B.C.D:PORT
   std::string data_centre;
-  std::uint32_t capacity = 1;  // requests worked on at once
+  std::uint32_t capacity = 1;  // concurrent requests
   bool draining = false;
   std::uint64_t revision = 0;             // of the platform's record of it
   std::chrono::milliseconds cold_for{0};  // from that revision on
 };
 
-// The route of the host with the longest prefix of the path; nullptr if none.
-// The path may carry a query, which does not count.
+// The host's route with the longest matching prefix; nullptr if none. A query
+// in the path is ignored.
 const route* find_route(const configuration& from, std::string_view host,
                         std::string_view path);
 
-// The service of a route that a request with this key goes to; the same key
-// gives the same service for as long as the weights stay.
+// Picks a service of the route by weight. The same key gives the same service
+// as long as the weights don't change.
 std::string_view pick_service(const route& from, std::string_view key);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/gateway/endpoint_records.h
+++ b/include/trayrock/internal/gateway/endpoint_records.h
@@ -1,4 +1,4 @@
-// Records of endpoints as gateways tell them to each other.
+// Encoding of endpoint records that gateways send to each other.
 //
 // Example:
 //   *change.mutable_record() = encode(known);
@@ -13,7 +13,8 @@
 
 records::EndpointRecord encode(const endpoint& from);
 
-// Which instance a record is of; that of a removed one may have nothing else.
+// The instance of a record. The record of a removed endpoint may have nothing
+// else.
 endpoint_identity identity_of(const records::EndpointRecord& from);
 
 records::EndpointIdentity encode(const endpoint_identity& from);
--- a/include/trayrock/internal/gateway/workspaces.h
+++ b/include/trayrock/internal/gateway/workspaces.h
@@ -1,8 +1,7 @@
-// Workspaces and their keys, as the operator has configured them.
+// Workspaces and their API keys.
 //
-// A look-up takes the same time for any key, known or not, however many there
-// are: it is by a hash with a seed of this process, and what is found is
-// compared in full without stopping at the first difference.
+// A lookup takes the same time for any key, known or not: keys are hashed with
+// a secret seed and compared in constant time.
 //
 // Example:
 //   const result<workspace_table> made = workspace_table::make(
@@ -25,7 +24,7 @@
 
 struct workspace {
   std::string name;
-  std::optional<std::uint32_t> rank;  // before that of the route; 0 comes first
+  std::optional<std::uint32_t> rank;  // overrides the route's; 0 comes first
   double requests_per_second = 0;     // 0: no limit
   double burst = 0;                   // requests above that
 
@@ -39,14 +38,14 @@
 
 class workspace_table {
  public:
-  // Errors: errc::entry_repeats_name for a name that stands twice, or a key
-  // that is in two workspaces.
+  // Errors: errc::entry_repeats_name for a repeated name, or a key of two
+  // workspaces.
   static result<workspace_table> make(std::vector<workspace_keys> from);
 
-  // nullptr for a key that is not known.
+  // nullptr for an unknown key.
   const workspace* owner_of(std::string_view key) const;
 
-  // nullptr for a name that is not known.
+  // nullptr for an unknown name.
   const workspace* find(std::string_view name) const;
 
   std::size_t size() const { return workspaces_.size(); }
@@ -60,15 +59,15 @@
   struct digest_hash {
     std::size_t operator()(const key_digest& of) const { return of.low; }
   };
-  struct held_key {
+  struct key_entry {
     std::string key;
-    std::size_t owner = 0;  // place in `workspaces_`
+    std::size_t owner = 0;  // index in `workspaces_`
   };
 
   static key_digest digest_of(std::string_view key);
 
   std::vector<workspace> workspaces_;
-  std::unordered_map<key_digest, held_key, digest_hash> keys_;
+  std::unordered_map<key_digest, key_entry, digest_hash> keys_;
 };
 
 }  // namespace trayrock
--- a/src/gateway/endpoint_records.cc
+++ b/src/gateway/endpoint_records.cc
@@ -5,7 +5,7 @@
 namespace trayrock {
 namespace {
 
-constexpr std::uint64_t most_cold_ms = std::uint64_t{365} * 24 * 3600 * 1000;
+constexpr std::uint64_t max_cold_ms = std::uint64_t{365} * 24 * 3600 * 1000;
 
 }  // namespace
 
@@ -51,7 +51,7 @@
   made.draining = from.draining();
   made.revision = from.revision();
   made.cold_for =
-      std::chrono::milliseconds(std::min(from.cold_ms(), most_cold_ms));
+      std::chrono::milliseconds(std::min(from.cold_ms(), max_cold_ms));
   return made;
 }
 
--- a/src/gateway/workspaces.cc
+++ b/src/gateway/workspaces.cc
@@ -6,7 +6,7 @@
 namespace trayrock {
 namespace {
 
-// Nobody outside of the process can make keys that share a digest.
+// Keeps clients from making keys whose digests collide.
 std::uint64_t secret_seed() {
   static const std::uint64_t seed = [] {
     std::random_device source;
@@ -16,7 +16,7 @@
 }
 
 // Takes the same time wherever the two differ.
-bool equal_throughout(std::string_view left, std::string_view right) {
+bool equal_in_constant_time(std::string_view left, std::string_view right) {
   if (left.size() != right.size()) {
     return false;
   }
@@ -43,13 +43,13 @@
     if (made.find(each.held.name) != nullptr) {
       return errc::entry_repeats_name;
     }
-    const std::size_t place = made.workspaces_.size();
+    const std::size_t index = made.workspaces_.size();
     made.workspaces_.push_back(std::move(each.held));
     for (std::string& key : each.keys) {
       const key_digest digest = digest_of(key);
       const auto [at, fresh] =
-          made.keys_.try_emplace(digest, held_key{std::move(key), place});
-      if (!fresh && at->second.owner != place) {
+          made.keys_.try_emplace(digest, key_entry{std::move(key), index});
+      if (!fresh && at->second.owner != index) {
         return errc::entry_repeats_name;
       }
     }
@@ -60,7 +60,7 @@
 const workspace* workspace_table::owner_of(std::string_view key) const {
   const auto found = keys_.find(digest_of(key));
   const bool known =
-      found != keys_.end() && equal_throughout(found->second.key, key);
+      found != keys_.end() && equal_in_constant_time(found->second.key, key);
   return known ? &workspaces_[found->second.owner] : nullptr;
 }
 
