--- a/include/trayrock/internal/gateway/request_facts.h
+++ b/include/trayrock/internal/gateway/request_facts.h
@@ -1,5 +1,5 @@
-// What a request and an answer say about themselves, decoded once.
-// The platform's adapter fills these in; nothing else reads the headers.
+// Metadata from the headers of a request and a response. Only the platform
+// adapter reads the headers and fills these in.
 //
 // Example:
 //   const request_facts facts = platform::decode_request(request);
@@ -21,39 +21,38 @@
 };
 
 struct request_facts {
-  std::string attempt;  // a client's try, named by the client
+  std::string attempt;  // id that the client gave to this attempt
   std::optional<std::chrono::milliseconds> time_left;  // the client's deadline
   std::string program;  // empty for requests outside of programs
-  std::string session;  // one line of turns of a program
+  std::string session;  // a sequence of turns of a program
   std::optional<std::chrono::milliseconds> program_time_left;
   std::optional<std::uint64_t> token_budget;  // of the whole program
   std::uint64_t prompt_tokens = 0;
   std::uint64_t most_output_tokens = 0;
   std::vector<prompt_part> prompt;  // in order
-  std::string previous_turn;        // attempt that this turn goes on from
+  std::string previous_turn;        // attempt that this turn continues
   std::string object;               // what the request is about, for locality
-  // That the request shows; empty if it shows none, or more than one.
-  std::string key;
+  std::string key;  // API key; empty if the request has none, or several
 };
 
 struct answer_facts {
-  std::string attempt;          // of the request that it answers; may be empty
+  std::string attempt;          // of the request; may be empty
   bool sealed = false;          // carries the endpoint's authentication code
-  bool not_executed = false;    // the endpoint says that it did not run it
-  bool other_instance = false;  // and that it is not the one that was meant
-  bool encoded = false;         // the body is not the endpoint's own bytes
+  bool not_executed = false;    // the endpoint did not run the request
+  bool other_instance = false;  // nor is it the instance that was addressed
+  bool encoded = false;         // the body has a content encoding
 };
 
-// What the gateway adds for the endpoint.
+// How the gateway forwards a request to an endpoint.
 struct endpoint_directions {
   std::chrono::milliseconds time_left{0};
-  std::string instance;        // the life of the endpoint that is meant
+  std::string instance;        // the endpoint instance that is addressed
   std::optional<int> urgency;  // 0 (first) to 9
-  std::string workspace;       // that the request belongs to; empty: to none
-  // The key is not for endpoints. Where none is asked for, what stands in its
-  // place is the client's own and goes on.
+  std::string workspace;       // of the request; empty: none
+  // Removes the Authorization header. Where no key is required, the header
+  // belongs to the client and is passed on.
   bool hides_key = false;
-  // The event behind which a stream goes on; nothing: as its client asked.
+  // Resumes a stream after this event; nothing: as the client requested.
   std::optional<std::uint64_t> resume_after;
 };
 
--- a/include/trayrock/internal/gateway/request_report.h
+++ b/include/trayrock/internal/gateway/request_report.h
@@ -1,4 +1,4 @@
-// What the log and the metrics say of a request that has ended.
+// Log line and metrics of a finished request.
 //
 // Example:
 //   request_report made;
@@ -19,16 +19,16 @@
   std::string route = "none";
   std::string workspace;            // empty: none
   std::uint64_t configuration = 0;  // version; 0: none yet
-  std::string endpoint;             // the last one that was chosen
+  std::string endpoint;             // the last one chosen
   std::string placed_by;            // why it was chosen
   std::uint64_t endpoints_age_ms = 0;
   std::uint64_t epoch = 0;  // of the group of record stores
   std::uint32_t sends = 0;
-  int unreachable = 0;  // endpoints to which no connection could be made
-  std::uint64_t permit_us = 0;   // until a store had said whether it may run
-  std::uint64_t reserve_us = 0;  // until the stores had answered
-  std::uint64_t head_us = 0;     // until the answer's head
-  std::uint64_t keep_us = 0;     // that the stores took to keep the turn
+  int unreachable = 0;           // failed connections
+  std::uint64_t permit_us = 0;   // until the permit was granted or denied
+  std::uint64_t reserve_us = 0;  // until the stores replied
+  std::uint64_t head_us = 0;     // until the head of the response
+  std::uint64_t keep_us = 0;     // duration of storing the turn
   std::uint64_t total_us = 0;
   std::uint64_t events = 0;
   int status = 0;
