--- /dev/null
+++ b/include/trayrock/internal/gateway/client_response.h
@@ -0,0 +1,66 @@
+// The response to one client, and the events sent in it so far.
+//
+// Streams are passed on as received; resumable ones by complete events only.
+// The head is that of the first endpoint, also after a resumption.
+//
+// Example:
+//   client_response response(out);
+//   response.begin(200, headers);
+//   response.pass(bytes);
+//   response.finish();
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "trayrock/internal/decide/event_stream.h"
+#include "trayrock/internal/decide/whole_events.h"
+#include "trayrock/internal/net/http1_server.h"
+
+namespace trayrock {
+
+class client_response {
+ public:
+  explicit client_response(http1_exchange_ptr out) : out_(std::move(out)) {}
+
+  http1_exchange& out() { return *out_; }
+  bool begun() const { return out_->begun(); }
+
+  // From now on, only complete events are passed on.
+  void make_resumable() { resumable_ = true; }
+
+  // Begins the response unless it has begun.
+  void begin(int status, const header_list& headers);
+
+  // Passes on bytes of the endpoint's body. False if the run repeats events
+  // that the client has received; nothing more of it may be passed on then.
+  bool pass(std::string_view bytes);
+
+  // The next bytes are of another run, which resumes after the last complete
+  // event.
+  void begin_run() { complete_events_.begin_run(); }
+
+  // The id of the last event sent to the client; nothing if no run can resume
+  // after it.
+  std::optional<std::uint64_t> last_event_id() const {
+    return resumable_ ? complete_events_.last_id() : std::nullopt;
+  }
+
+  void finish();
+  void abort() { out_->abort(); }
+
+  // What was sent to the client, incomplete events included.
+  const event_stream& events() const { return events_; }
+
+ private:
+  void write(std::string_view bytes);
+
+  http1_exchange_ptr out_;
+  bool resumable_ = false;
+  whole_events complete_events_;
+  event_stream events_;
+};
+
+}  // namespace trayrock
--- a/include/trayrock/internal/gateway/endpoint_attempt.h
+++ b/include/trayrock/internal/gateway/endpoint_attempt.h
@@ -1,9 +1,9 @@
-// One sending of a request to one endpoint, and what came back. The same
-// object serves for the next sending.
+// One send of a request to an endpoint, with its response. Reusable for the
+// next send.
 //
-// Keeps the books of the endpoint: every attempt that was begun is ended once,
-// with its outcome. Behind one that breaks, is late or finds no connection, the
-// idle connections to the endpoint are not used any more.
+// Every attempt that was begun is ended once, and its outcome recorded for the
+// endpoint. After one that breaks, is slow or can't connect, idle connections
+// to the endpoint are closed.
 //
 // Example:
 //   endpoint_attempt attempt(loop, pool, facts);
@@ -38,10 +38,9 @@
   endpoint_attempt(const endpoint_attempt&) = delete;
   endpoint_attempt& operator=(const endpoint_attempt&) = delete;
 
-  // Begins an attempt at an endpoint. False if it is nullptr.
+  // Begins an attempt. False if the endpoint is nullptr.
   bool begin(endpoint_state_ptr to);
 
-  // Sends the request to the endpoint.
   void send(const http1_request& request, http1_observer observer);
   void cancel() { call_.cancel(); }
 
@@ -58,46 +57,46 @@
   // Since it was begun.
   milliseconds age() const;
 
-  // The head must have been found to belong to this request.
-  void take_head(const http1_answer_head& head, answer_facts answer);
+  // The head must belong to this request.
+  void accept_head(const http1_answer_head& head, answer_facts response);
 
-  // Holds bytes back until the answer is complete. An answer that is too
-  // large for that is invalid.
-  void hold_back(std::string_view bytes);
+  // Buffers bytes until the response is complete. A response that is too large
+  // for that is invalid.
+  void buffer(std::string_view bytes);
 
   const http1_answer_head& head() const { return head_; }
   int status() const { return head_.status; }  // 0: no head yet
   bool succeeded() const;
-  bool not_executed() const { return answer_.not_executed; }
+  bool not_executed() const { return response_.not_executed; }
   const std::string& body() const { return body_; }
 
-  // True when clients must not get this answer.
+  // True when the response must not be passed on.
   bool invalid() const { return invalid_; }
 
   attempt_outcome outcome_of(http1_end how) const;
 
-  // The endpoint is late with its answer: evidence against it.
-  void suspect();
+  // Counts a slow response as a failure in the endpoint's health.
+  void mark_slow();
 
-  // Ends the attempt in the endpoint's books and logs what did not go well.
+  // Ends the attempt, records its outcome for the endpoint and logs failures.
   // Does nothing unless an attempt is in flight.
   void end(attempt_outcome outcome);
 
  private:
   void log_avoided() const;
   void log_failed(attempt_outcome outcome, double ms) const;
-  void forget_idle_connections();
+  void drop_idle_connections();
 
   event_loop& loop_;
   http1_pool& pool_;
   const request_facts& facts_;
-  bool drops_connections_;  // idle ones, beside one that failed
+  bool drops_connections_;  // idle ones, after one failed
   endpoint_state_ptr endpoint_;
   http1_call call_;
   bool in_flight_ = false;
   std::uint64_t sent_at_us_ = 0;
   http1_answer_head head_;
-  answer_facts answer_;
+  answer_facts response_;
   std::string body_;
   bool invalid_ = false;
 };
--- a/include/trayrock/internal/gateway/gateway_policy.h
+++ b/include/trayrock/internal/gateway/gateway_policy.h
@@ -1,7 +1,5 @@
-// How a gateway decides: the policies of its decisions in one place.
-//
-// The defaults are the product's. Trials leave mechanisms out, to show what
-// each is worth (tools/ablate).
+// Policies of a gateway. Ablation runs disable single mechanisms
+// (tools/ablate).
 //
 // Example:
 //   const gateway_policy policy = policy_without({mechanism::relays});
@@ -17,7 +15,7 @@
 
 namespace trayrock {
 
-// What gateways tell each other, beside configurations.
+// What gateways report to each other, besides configurations.
 struct news_policy {
   bool failures = true;
   bool superseded = true;
@@ -28,26 +26,26 @@
 
 struct gateway_policy {
   directory_policy endpoints;
-  late_policy late;
+  late_policy slow_endpoints;
   news_policy news;
   stop_estimate durations = by_recent_requests{};
-  return_rule return_times = by_balancer{};
+  return_rule retry_after = by_balancer{};
   watch_sharing watches = few_watch{};
   bool relays = true;
   bool resumes_streams = true;
-  // A stream that may not go on elsewhere and does not begin is told to other
-  // gateways.
-  bool warns_of_streams = true;
+  // Reports an endpoint to other gateways when a stream that can't be resumed
+  // elsewhere doesn't begin in time.
+  bool reports_slow_streams = true;
   bool repeats_listings = true;
   bool caches_chains = true;
-  // Idle connections to an endpoint go with one that failed.
+  // Closes idle connections to an endpoint after one of them failed.
   bool drops_connections = true;
 
   bool operator==(const gateway_policy&) const = default;
 };
 
-// The product's policy without the mechanisms. Those of record stores change
-// nothing here.
+// The default policy without the mechanisms. Those of record stores have no
+// effect here.
 gateway_policy policy_without(const mechanism_set& off);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/gateway/request_flow.h
+++ b/include/trayrock/internal/gateway/request_flow.h
@@ -1,15 +1,13 @@
-// The life of one client's request in the gateway.
+// Handles one client request: routing, permit, token reservation and history,
+// endpoint choice, forwarding, and storage of the finished turn.
 //
-// Route, get a permit if the workspace's rate is limited, reserve and read the
-// history (turns), choose an endpoint, send, pass
-// the answer on, record what was said. A request that may run only once is
-// never sent a second time after an endpoint may have begun it. A request that
-// is given up is answered at once.
+// A request that may run only once is never sent again after an endpoint may
+// have started it.
 //
 // Example:
 //   http1_server clients(loop, limits,
 //                        [&](http1_request request, http1_exchange_ptr out) {
-//                          serve_request(parts, std::move(request),
+//                          serve_request(context, std::move(request),
 //                                        std::move(out));
 //                        });
 #pragma once
@@ -33,9 +31,8 @@
 
 namespace trayrock {
 
-// What the requests of one gateway share. Whoever owns the parts keeps them
-// for as long as the loop runs.
-struct gateway_parts {
+// Shared by all requests of one gateway. Must be valid while the loop runs.
+struct gateway_context {
   event_loop& loop;
   http1_pool& pool;
   record_client& records;
@@ -44,31 +41,30 @@
   chain_cache& chains;
   metrics_registry& metrics;
   duration_book& durations;
-  std::map<std::string, late_rule, std::less<>>& late_rules;  // by service
+  std::map<std::string, late_rule, std::less<>>& slow_detectors;  // by service
   program_sightings& programs;
   std::string data_centre;
   gateway_policy policy;
   std::function<configuration_ptr()> configuration;  // nullptr: none yet
-  // Whether that was the newest one a short time ago.
+  // Whether the configuration was recently confirmed to be the newest.
   std::function<bool()> configuration_proven;
-  // Milliseconds since the platform last answered about the endpoints.
+  // Milliseconds since the platform last confirmed the list of endpoints.
   std::function<std::uint64_t()> endpoints_age_ms;
-  // Until the process ends; the largest value while it goes on. What has begun
-  // by then and is not answered gets its final answer.
-  std::function<milliseconds()> time_to_end;
-  // When clients that are turned away because the process stops should come
-  // back.
-  std::function<milliseconds()> back_after_stopping;
-  // How long this gateway has been cut off from all others; 0: it is not.
-  std::function<milliseconds()> cut_off_for;
-  // Told of each endpoint that began a request and did not answer it whole.
+  // Time until open requests must be answered because the process stops; the
+  // largest value while it isn't stopping.
+  std::function<milliseconds()> time_to_shutdown;
+  // Retry-After for requests that are rejected because the process stops.
+  std::function<milliseconds()> retry_after_draining;
+  // How long this gateway has been isolated from all peers; 0: it is not.
+  std::function<milliseconds()> isolated_for;
+  // Called for an endpoint that failed, or is slow, after it got a request.
   std::function<void(const endpoint_identity&)> endpoint_failed;
-  // Told of each endpoint at whose address another instance answered.
+  // Called for an endpoint at whose address another instance responded.
   std::function<void(const endpoint_identity&)> endpoint_superseded;
 };
 
-// Serves one request; the flow lives until its answer has ended.
-void serve_request(const gateway_parts& parts, http1_request request,
+// Serves one request until its response has ended.
+void serve_request(const gateway_context& context, http1_request request,
                    http1_exchange_ptr out);
 
 }  // namespace trayrock
--- /dev/null
+++ b/include/trayrock/internal/gateway/request_routing.h
@@ -0,0 +1,92 @@
+// Resolves a request's route, service, workspace and time limit.
+//
+// A request keeps the configuration that it began with.
+//
+// Example:
+//   request_routing routing;
+//   if (const auto why = routing.resolve(configuration, request, facts)) {
+//     refuse(*why);
+//   }
+//   if (const auto why = routing.apply_time_limits(facts, durations,
+//   time_to_shutdown)) {
+//     refuse(*why);
+//   }
+//   routing.route().name;
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string_view>
+
+#include "trayrock/errors.h"
+#include "trayrock/internal/decide/duration_book.h"
+#include "trayrock/internal/gateway/configuration.h"
+#include "trayrock/internal/gateway/request_facts.h"
+#include "trayrock/internal/net/http1_server.h"
+#include "trayrock/internal/net/loop.h"
+
+namespace trayrock {
+
+class request_routing {
+ public:
+  // Finds the route, the service and the workspace. Errors:
+  // errc::not_configured, errc::unknown_route, errc::missing_header or
+  // errc::unknown_key; what was found before the error is kept for the report.
+  std::optional<errc> resolve(configuration_ptr configuration,
+                              const http1_request& request,
+                              const request_facts& facts);
+
+  // Checks that the key still belongs to the same workspace in a newer
+  // configuration. Errors: errc::unknown_key.
+  std::optional<errc> check_key(const trayrock::configuration* now,
+                                const request_facts& facts) const;
+
+  // Sets the time limit: the least of the client's deadline, the route's
+  // timeout and the time until the process stops. Requires a route. Errors:
+  // errc::stopping.
+  std::optional<errc> apply_time_limits(const request_facts& facts,
+                                        const duration_book& durations,
+                                        milliseconds time_to_shutdown);
+
+  // nullptr until resolved.
+  const trayrock::configuration* configuration() const {
+    return configuration_.get();
+  }
+  const trayrock::route* found_route() const { return route_; }
+
+  // The following require a route.
+  const trayrock::route& route() const { return *route_; }
+  std::string_view service() const { return service_; }
+  bool repeatable() const { return route_->kind == repetition::repeatable; }
+  bool once() const { return route_->kind == repetition::once; }
+  bool stream() const { return route_->kind == repetition::stream; }
+  bool resumable() const { return stream() && route_->resumable; }
+
+  bool requires_key() const {
+    return configuration_->workspaces.has_value() && !route_->open_to_all;
+  }
+
+  // nullptr where no key is required.
+  const trayrock::workspace* owner() const { return owner_; }
+  std::string_view workspace_name() const {
+    return owner_ == nullptr ? std::string_view() : owner_->name;
+  }
+
+  // From the arrival of the request.
+  milliseconds time_limit() const { return time_limit_; }
+
+  // Whether the service's endpoints are model engines.
+  bool targets_engine() const;
+
+  // Of the service's engine; 1 if it is unknown.
+  std::uint64_t tokens_per_event() const;
+
+ private:
+  configuration_ptr configuration_;
+  const trayrock::route* route_ = nullptr;
+  std::string_view service_;
+  const trayrock::workspace* owner_ = nullptr;
+  milliseconds time_limit_{0};
+};
+
+}  // namespace trayrock
--- a/src/gateway/endpoint_attempt.cc
+++ b/src/gateway/endpoint_attempt.cc
@@ -6,13 +6,13 @@
 namespace trayrock {
 namespace {
 
-// Whole answers are held back until they are complete up to this size.
-constexpr std::size_t most_buffered_bytes = 4U << 20;
+// Largest response that is buffered.
+constexpr std::size_t max_buffered_bytes = 4U << 20;
 
 constexpr int first_success = 200;
 constexpr int first_redirect = 300;
 
-// How the log calls an outcome.
+// Name of an outcome in the log.
 std::string_view text_of(attempt_outcome outcome) {
   switch (outcome) {
     case attempt_outcome::refused:
@@ -39,7 +39,7 @@
   endpoint_directory::begin(*endpoint_, loop_.now_ms());
   in_flight_ = true;
   head_ = {};
-  answer_ = {};
+  response_ = {};
   body_.clear();
   invalid_ = false;
   return true;
@@ -63,16 +63,16 @@
       static_cast<long>((loop_.now_us() - sent_at_us_) / us_per_ms));
 }
 
-void endpoint_attempt::take_head(const http1_answer_head& head,
-                                 answer_facts answer) {
+void endpoint_attempt::accept_head(const http1_answer_head& head,
+                                   answer_facts response) {
   head_ = head;
-  answer_ = std::move(answer);
-  invalid_ = succeeded() && (!answer_.sealed || answer_.encoded);
+  response_ = std::move(response);
+  invalid_ = succeeded() && (!response_.sealed || response_.encoded);
 }
 
-void endpoint_attempt::hold_back(std::string_view bytes) {
+void endpoint_attempt::buffer(std::string_view bytes) {
   body_.append(bytes);
-  invalid_ = body_.size() > most_buffered_bytes;
+  invalid_ = body_.size() > max_buffered_bytes;
 }
 
 bool endpoint_attempt::succeeded() const {
@@ -86,26 +86,26 @@
   if (how == http1_end::broken || invalid_) {
     return attempt_outcome::broken;
   }
-  if (answer_.other_instance) {
+  if (response_.other_instance) {
     return attempt_outcome::other_instance;
   }
-  return answer_.not_executed ? attempt_outcome::refused
-                              : attempt_outcome::answered;
+  return response_.not_executed ? attempt_outcome::refused
+                                : attempt_outcome::answered;
 }
 
-void endpoint_attempt::suspect() {
+void endpoint_attempt::mark_slow() {
   log_info("endpoint_late", {{"request", facts_.attempt},
                              {"endpoint", endpoint_->record.identity.id}});
   if (endpoint_->health.failed(loop_.now_ms())) {
     log_avoided();
   }
-  forget_idle_connections();
+  drop_idle_connections();
 }
 
-// The next request gets a new connection to the endpoint. If none can be made
-// it has not run, and goes elsewhere; on a connection that has fallen silent it
-// would be lost.
-void endpoint_attempt::forget_idle_connections() {
+// Makes the next request open a new connection. If that fails, the request has
+// not run and can be sent elsewhere; on a dead idle connection it would be
+// lost.
+void endpoint_attempt::drop_idle_connections() {
   if (drops_connections_) {
     pool_.forget(endpoint_->record.address, endpoint_->record.identity.text());
   }
@@ -123,7 +123,7 @@
   in_flight_ = false;
   if (outcome == attempt_outcome::broken ||
       outcome == attempt_outcome::unreachable) {
-    forget_idle_connections();
+    drop_idle_connections();
   }
   constexpr double us_per_ms = 1000;
   const double ms =
--- a/src/gateway/error_answer.cc
+++ b/src/gateway/error_response.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/gateway/error_answer.h"
+#include "trayrock/internal/gateway/error_response.h"
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -8,13 +8,13 @@
 namespace trayrock {
 namespace {
 
-// When a client should come back, by why the request was given up.
-constexpr milliseconds back_after_full{150};
-constexpr milliseconds back_after_history{250};  // or a permit
-constexpr milliseconds back_after_reserved{200};
+constexpr milliseconds endpoints_full_retry_after{150};
+constexpr milliseconds stores_unavailable_retry_after{250};
+constexpr milliseconds tokens_reserved_retry_after{200};
 // Within a second every gateway's share of a cold endpoint is free again.
-constexpr milliseconds back_after_cold{1000};
-constexpr milliseconds back_after_unconfigured{500};
+constexpr milliseconds endpoints_cold_retry_after{1000};
+constexpr milliseconds not_configured_retry_after{500};
+
 // A duration as seconds with three decimals.
 std::string seconds_text(milliseconds delay) {
   constexpr std::size_t decimals = 3;
@@ -26,29 +26,29 @@
 
 }  // namespace
 
-milliseconds back_after(errc why) {
+milliseconds default_retry_after(errc why) {
   switch (why) {
     case errc::no_runner:
     case errc::endpoints_full:
-      return back_after_full;
+      return endpoints_full_retry_after;
     case errc::history_unavailable:
     case errc::workspace_limit_unknown:
-      return back_after_history;
+      return stores_unavailable_retry_after;
     case errc::endpoints_cold:
-      return back_after_cold;
+      return endpoints_cold_retry_after;
     case errc::tokens_reserved:
-      return back_after_reserved;
+      return tokens_reserved_retry_after;
     case errc::not_configured:
-      return back_after_unconfigured;
+      return not_configured_retry_after;
     default:
       return milliseconds(0);
   }
 }
 
-void respond_error(http1_exchange& out, errc why, milliseconds come_back) {
+void respond_error(http1_exchange& out, errc why, milliseconds retry_after) {
   header_list headers;
-  if (come_back.count() > 0) {
-    headers.add("Retry-After", seconds_text(come_back));
+  if (retry_after.count() > 0) {
+    headers.add("Retry-After", seconds_text(retry_after));
   }
   headers.add("Content-Type", "application/json");
   const nlohmann::json body = {{"error",
--- a/src/gateway/gateway_main.cc
+++ b/src/gateway/gateway_main.cc
@@ -1,8 +1,8 @@
-// trayrock-gateway: serves clients' requests on the platform's edge boxes.
+// trayrock-gateway: serves client requests on the platform's edge boxes.
 #include <algorithm>
 #include <csignal>
 
-#include "trayrock/internal/gateway/gateway_stages.h"
+#include "trayrock/internal/gateway/gateway_lifecycle.h"
 #include "trayrock/internal/gateway/platform_view.h"
 #include "trayrock/internal/gateway/request_flow.h"
 #include "trayrock/internal/log.h"
@@ -13,8 +13,7 @@
 
 using namespace trayrock;
 
-// Memory for the texts of recent chains. The next turn comes within about a
-// second; at 30 turns a second of 10 KB that is 300 KB.
+// Memory for the texts of recent chains; several seconds' worth of turns.
 constexpr std::size_t chain_cache_bytes = 3U << 19;
 
 std::uint64_t reconnect_ms(const gateway_settings& settings) {
@@ -45,7 +44,7 @@
         durations_(policy_.durations),
         view_(loop_, rpc_, platform_, settings, policy_,
               {endpoints_, records_, metrics_}),
-        parts_{
+        context_{
             loop_,
             pool_,
             records_,
@@ -54,41 +53,42 @@
             chains_,
             metrics_,
             durations_,
-            late_rules_,
+            slow_detectors_,
             programs_,
             settings.service.data_centre,
             policy_,
             [this] { return view_.configuration(); },
             [this] { return view_.is_configuration_proven(); },
             [this] { return view_.endpoints_age_ms(); },
-            [this] { return stages_.time_to_end(); },
-            [this] { return stages_.back_after_stopping(); },
-            [this] { return cut_off_for(); },
+            [this] { return lifecycle_.time_to_shutdown(); },
+            [this] { return lifecycle_.retry_after_draining(); },
+            [this] { return isolated_for(); },
             [this](const endpoint_identity& at) { view_.note_failure(at); },
             [this](const endpoint_identity& at) { view_.note_superseded(at); }},
         clients_(
             loop_, [this] { return limits(); },
             [this](http1_request request, http1_exchange_ptr out) {
-              serve_request(parts_, std::move(request), std::move(out));
+              serve_request(context_, std::move(request), std::move(out));
             }),
-        stages_(loop_, clients_, settings.service.stop_limit,
-                policy_.return_times),
-        readiness_(
+        lifecycle_(loop_, clients_, settings.service.stop_limit,
+                   policy_.retry_after),
+        readiness_server_(
             loop_, [] { return http1_limits{}; },
             [this](const http1_request&, const http1_exchange_ptr& out) {
               out->respond(ready() ? 200 : 503, {}, "");
             }),
-        figures_(
+        metrics_server_(
             loop_, [] { return http1_limits{}; },
             [this](const http1_request&, const http1_exchange_ptr& out) {
               out->respond(200, {}, metrics_.text());
             }) {}
 
   int run() {
-    const bool listening = clients_.listen(settings_.http_listen) &&
-                           readiness_.listen(settings_.ready_listen) &&
-                           figures_.listen(settings_.service.metrics_listen) &&
-                           peers_.listen(settings_.service.rpc_listen);
+    const bool listening =
+        clients_.listen(settings_.http_listen) &&
+        readiness_server_.listen(settings_.ready_listen) &&
+        metrics_server_.listen(settings_.service.metrics_listen) &&
+        peers_.listen(settings_.service.rpc_listen);
     if (!listening) {
       log_error("listen_failed", {{"gateway", settings_.service.name}});
       return exit_listen;
@@ -98,19 +98,19 @@
     warn_of_trial(settings_.service);
     observe_connections();
     serve_peers();
-    stages_.begin([this] { return ready(); });
+    lifecycle_.begin([this] { return ready(); });
     view_.start([this] { serve_if_ready(); });
     const timer terminate =
-        loop_.on_signal(SIGTERM, [this] { stages_.begin_drain(); });
+        loop_.on_signal(SIGTERM, [this] { lifecycle_.begin_drain(); });
     const timer reload = loop_.on_signal(SIGHUP, [] {
       log_info("reload", {{"outcome", "no setting can change while running"}});
     });
     const timer contact =
         loop_.every(milliseconds(contact_rule::tick_period_ms),
-                    [this] { watch_contact(); });
+                    [this] { update_isolation(); });
     loop_.run();
     log_info("gateway_stopped", {{"gateway", settings_.service.name}});
-    return stages_.exit_code();
+    return lifecycle_.exit_code();
   }
 
  private:
@@ -147,37 +147,37 @@
   }
 
   bool ready() {
-    return !stages_.draining() && view_.configuration() != nullptr &&
+    return !lifecycle_.draining() && view_.configuration() != nullptr &&
            endpoints_.size() > 0 && records_.has_group() &&
            !records_.contact().cut_off();
   }
 
-  milliseconds cut_off_for() {
+  milliseconds isolated_for() {
     const std::uint64_t since = records_.contact().cut_off_since_ms();
     return milliseconds(since == 0 ? 0 : loop_.now_ms() - since);
   }
 
-  // Looks whether this gateway is cut off from all others. Clients on kept
-  // connections are to find another one then; and peers are asked whether it is
-  // over, since no request does that any more.
-  void watch_contact() {
+  // Checks whether this gateway is isolated from all peers. If so, it
+  // closes keep-alive connections, so that clients move to another gateway, and
+  // polls its peers, since no request would notice the end of the isolation.
+  void update_isolation() {
     contact_rule& contact = records_.contact();
     contact.tick(loop_.now_ms());
-    if (contact.cut_off() != was_cut_off_) {
-      was_cut_off_ = contact.cut_off();
-      metrics_.set("cut_off", {}, was_cut_off_ ? 1 : 0);
-      log_warn(was_cut_off_ ? "cut_off" : "cut_off_over",
+    if (contact.cut_off() != was_isolated_) {
+      was_isolated_ = contact.cut_off();
+      metrics_.set("cut_off", {}, was_isolated_ ? 1 : 0);
+      log_warn(was_isolated_ ? "cut_off" : "cut_off_over",
                {{"ready", ready() ? "yes" : "no"}});
-      clients_.close_after_answers(was_cut_off_ || stages_.draining());
+      clients_.close_after_answers(was_isolated_ || lifecycle_.draining());
     }
-    if (was_cut_off_) {
+    if (was_isolated_) {
       view_.ask_sign_of_life([this] { records_.contact().heard(); });
     }
   }
 
   void serve_if_ready() {
-    if (!stages_.serving() && ready()) {
-      stages_.begin_serving();
+    if (!lifecycle_.serving() && ready()) {
+      lifecycle_.begin_serving();
     }
   }
 
@@ -194,15 +194,15 @@
   endpoint_directory endpoints_;
   chain_cache chains_;
   duration_book durations_;
-  std::map<std::string, late_rule, std::less<>> late_rules_;
+  std::map<std::string, late_rule, std::less<>> slow_detectors_;
   program_sightings programs_;
   platform_view view_;
-  gateway_parts parts_;
+  gateway_context context_;
   http1_server clients_;
-  gateway_stages stages_;
-  http1_server readiness_;
-  http1_server figures_;
-  bool was_cut_off_ = false;
+  gateway_lifecycle lifecycle_;
+  http1_server readiness_server_;
+  http1_server metrics_server_;
+  bool was_isolated_ = false;
 };
 
 }  // namespace
--- a/src/gateway/gateway_policy.cc
+++ b/src/gateway/gateway_policy.cc
@@ -3,8 +3,7 @@
 namespace trayrock {
 namespace {
 
-// Takes one mechanism out of a policy.
-void leave_out(mechanism which, gateway_policy& from) {
+void disable(mechanism which, gateway_policy& from) {
   switch (which) {
     case mechanism::relays:
       from.relays = false;
@@ -34,16 +33,16 @@
       from.endpoints.choice.unconnected_factor = 1;
       return;
     case mechanism::late_by_comparison:
-      from.late.limit = objective_alone{};
+      from.slow_endpoints.limit = objective_alone{};
       return;
     case mechanism::late_endpoints_left:
-      from.late.leaves = false;
+      from.slow_endpoints.leaves = false;
       return;
     case mechanism::resumed_streams:
       from.resumes_streams = false;
       return;
     case mechanism::stream_warnings:
-      from.warns_of_streams = false;
+      from.reports_slow_streams = false;
       return;
     case mechanism::repeated_listings:
       from.repeats_listings = false;
@@ -58,7 +57,7 @@
       from.durations = by_fixed_time{};
       return;
     case mechanism::return_times:
-      from.return_times = always_at_once{};
+      from.retry_after = always_at_once{};
       return;
     case mechanism::dropped_connections:
       from.drops_connections = false;
@@ -82,7 +81,7 @@
 gateway_policy policy_without(const mechanism_set& off) {
   gateway_policy made;
   for (const mechanism each : off) {
-    leave_out(each, made);
+    disable(each, made);
   }
   return made;
 }
--- a/src/gateway/request_flow.cc
+++ b/src/gateway/request_flow.cc
@@ -5,70 +5,73 @@
 #include "platform/messages.h"
 #include "request_flow_state.h"
 #include "trayrock/internal/decide/return_time.h"
-#include "trayrock/internal/gateway/error_answer.h"
+#include "trayrock/internal/gateway/error_response.h"
 #include "trayrock/internal/log.h"
 
 namespace trayrock::internal {
 namespace {
 
-// An answer is given this long before the client stops waiting for it.
-constexpr milliseconds answer_margin{25};
+// A response is sent this long before the client's deadline.
+constexpr milliseconds response_margin{25};
 
 }  // namespace
 
-request_flow::request_flow(const gateway_parts& parts, http1_request request,
-                           http1_exchange_ptr out)
-    : parts_(parts),
+request_flow::request_flow(const gateway_context& context,
+                           http1_request request, http1_exchange_ptr out)
+    : context_(context),
       request_(std::move(request)),
-      answer_(std::move(out)),
-      history_(parts.loop, parts.records, parts.chains, facts_),
-      attempt_(parts.loop, parts.pool, facts_, parts.policy.drops_connections),
-      began_us_(parts.loop.now_us()) {}
+      response_(std::move(out)),
+      history_(context.loop, context.records, context.chains, facts_),
+      attempt_(context.loop, context.pool, facts_,
+               context.policy.drops_connections),
+      began_us_(context.loop.now_us()) {}
 
 void request_flow::start() {
   facts_ = platform::decode_request(request_);
   std::optional<errc> refused =
-      terms_.find(parts_.configuration(), request_, facts_);
-  if (terms_.found_route() != nullptr && terms_.asks_for_key() &&
-      !parts_.configuration_proven()) {
-    // A key that is not known here may be new, and a known one taken away.
+      routing_.resolve(context_.configuration(), request_, facts_);
+  if (routing_.found_route() != nullptr && routing_.requires_key() &&
+      !context_.configuration_proven()) {
+    // With an outdated configuration, an unknown key may be new and a known
+    // one revoked.
     refused = errc::configuration_unproven;
   }
   if (!refused) {
-    refused = terms_.fit(facts_, parts_.durations, parts_.time_to_end());
+    refused = routing_.apply_time_limits(facts_, context_.durations,
+                                         context_.time_to_shutdown());
   }
   if (refused) {
     refuse(*refused);
     return;
   }
-  note_program();
+  record_program();
   if (resumable()) {
-    answer_.make_resumable();
+    response_.make_resumable();
   }
-  watch_ends();
-  needs_record_ = history_.begin(terms_.route(), terms_.workspace_name());
+  watch_deadline_and_client();
+  needs_record_ = history_.begin(routing_.route(), routing_.workspace_name());
   const bool needs_stores = needs_record_ || needs_permit();
-  if (needs_stores && parts_.cut_off_for() > milliseconds(0)) {
+  if (needs_stores && context_.isolated_for() > milliseconds(0)) {
     refuse(errc::cut_off);
   } else if (needs_permit()) {
     acquire_permit();
   } else {
-    go_on();
+    reserve_or_send();
   }
 }
 
-// Calls of tools belong to a program, too, but are no turns of it.
-void request_flow::note_program() {
-  if (!terms_.at_engine() || facts_.program.empty()) {
+// Tool calls belong to a program but are no turns of it.
+void request_flow::record_program() {
+  if (!routing_.targets_engine() || facts_.program.empty()) {
     return;
   }
-  const std::uint64_t now = parts_.loop.now_ms();
-  program_goes_on_ = !facts_.previous_turn.empty() ||
-                     parts_.programs.knows(facts_.program, now);
-  parts_.programs.note(facts_.program, now);
+  const std::uint64_t now = context_.loop.now_ms();
+  continues_program_ = !facts_.previous_turn.empty() ||
+                       context_.programs.knows(facts_.program, now);
+  context_.programs.note(facts_.program, now);
 }
 
-void request_flow::go_on() {
+void request_flow::reserve_or_send() {
   if (needs_record_) {
     reserve();
   } else {
@@ -76,23 +79,25 @@
   }
 }
 
-void request_flow::watch_ends() {
+void request_flow::watch_deadline_and_client() {
   const std::weak_ptr<request_flow> weak = weak_from_this();
-  deadline_ = parts_.loop.after(
-      std::max(terms_.hold() - answer_margin, milliseconds(0)), [weak] {
-        if (const auto held = weak.lock()) {
-          held->deadline_passed();
+  deadline_ = context_.loop.after(
+      std::max(routing_.time_limit() - response_margin, milliseconds(0)),
+      [weak] {
+        if (const auto flow = weak.lock()) {
+          flow->on_deadline();
         }
       });
-  answer_.out().on_gone([self = shared_from_this()] { self->client_gone(); });
+  response_.out().on_gone(
+      [self = shared_from_this()] { self->on_client_disconnected(); });
 }
 
 milliseconds request_flow::time_left() const {
-  return std::max(terms_.hold() - answer_margin - elapsed_ms(),
+  return std::max(routing_.time_limit() - response_margin - elapsed_ms(),
                   milliseconds(0));
 }
 
-void request_flow::client_gone() {
+void request_flow::on_client_disconnected() {
   if (ended_) {
     return;
   }
@@ -102,7 +107,7 @@
   end("client_gone", attempt_.status());
 }
 
-void request_flow::deadline_passed() {
+void request_flow::on_deadline() {
   if (ended_) {
     return;
   }
@@ -118,33 +123,33 @@
 
 void request_flow::fail(errc why) {
   settle_begun_events();
-  if (!answer_.begun()) {
+  if (!response_.begun()) {
     refuse(why);
     return;
   }
   log_info("answer_cut", {{"request", facts_.attempt},
                           {"cause", make_error_code(why).message()}});
   end("answer_cut", attempt_.status());
-  answer_.abort();
+  response_.abort();
 }
 
 void request_flow::refuse(errc why) {
   end(make_error_code(why).message(), http_status(why));
-  respond_error(answer_.out(), why, come_back_after(why));
+  respond_error(response_.out(), why, retry_after(why));
 }
 
-milliseconds request_flow::come_back_after(errc why) const {
+milliseconds request_flow::retry_after(errc why) const {
   switch (why) {
     case errc::stopping:
-      return parts_.back_after_stopping();
+      return context_.retry_after_draining();
     case errc::cut_off:
-      return return_time_when_cut_off(parts_.cut_off_for());
+      return return_time_when_cut_off(context_.isolated_for());
     case errc::configuration_unproven:
       return return_time_when_unproven();
     case errc::workspace_limit:
-      return back_after_limit_;
+      return limit_retry_after_;
     default:
-      return back_after(why);
+      return default_retry_after(why);
   }
 }
 
@@ -154,56 +159,56 @@
 }
 
 std::uint64_t request_flow::elapsed_us() const {
-  return parts_.loop.now_us() - began_us_;
+  return context_.loop.now_us() - began_us_;
 }
 
 std::string request_flow::placed_by() const {
   if (attempt_.to() == nullptr) {
     return "";
   }
-  const bool kept = turn_before() == attempt_.identity();
+  const bool kept = previous_endpoint() == attempt_.identity();
   return kept ? "previous_turn" : "load";
 }
 
-void request_flow::report_terms(bool answered) {
-  if (terms_.from() != nullptr) {
-    report_.configuration = terms_.from()->version;
+void request_flow::report_routing(bool answered) {
+  if (routing_.configuration() != nullptr) {
+    report_.configuration = routing_.configuration()->version;
   }
-  if (terms_.found_route() == nullptr) {
+  if (routing_.found_route() == nullptr) {
     return;
   }
-  report_.route = terms_.route().name;
-  report_.workspace = terms_.workspace_name();
+  report_.route = routing_.route().name;
+  report_.workspace = routing_.workspace_name();
   if (answered) {
-    parts_.durations.add(terms_.route().name, elapsed_ms());
+    context_.durations.add(routing_.route().name, elapsed_ms());
   }
 }
 
 void request_flow::end(std::string_view outcome, int status) {
   ended_ = true;
   deadline_.cancel();
-  late_guard_.cancel();
+  silence_timer_.cancel();
   return_unused_permit();
-  report_terms(outcome == "answered");
+  report_routing(outcome == "answered");
   report_.endpoint = attempt_.endpoint_id();
   report_.placed_by = placed_by();
-  report_.endpoints_age_ms = parts_.endpoints_age_ms();
-  report_.epoch = parts_.records.group().epoch();
+  report_.endpoints_age_ms = context_.endpoints_age_ms();
+  report_.epoch = context_.records.group().epoch();
   report_.total_us = elapsed_us();
-  report_.events = answer_.events().whole_events();
+  report_.events = response_.events().whole_events();
   report_.status = status;
   report_.outcome = outcome;
-  report_request(parts_.metrics, facts_, report_);
+  report_request(context_.metrics, facts_, report_);
 }
 
 }  // namespace trayrock::internal
 
 namespace trayrock {
 
-void serve_request(const gateway_parts& parts, http1_request request,
+void serve_request(const gateway_context& context, http1_request request,
                    http1_exchange_ptr out) {
   const auto flow = std::make_shared<internal::request_flow>(
-      parts, std::move(request), std::move(out));
+      context, std::move(request), std::move(out));
   flow->start();
 }
 
--- a/src/gateway/request_flow_endpoint.cc
+++ b/src/gateway/request_flow_endpoint.cc
@@ -1,4 +1,4 @@
-// A request's way to endpoints, and what comes of their answers.
+// Sends a request to endpoints and handles their responses.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -11,89 +11,88 @@
 namespace trayrock::internal {
 namespace {
 
-// A send with less time than this can not be answered.
-constexpr milliseconds least_send_time{30};
-// Connections that could not be made do not count as tries; this many end
-// the request all the same.
-constexpr int most_unreachable = 4;
+// With less time left than this, no endpoint can respond.
+constexpr milliseconds min_send_time{30};
+// Failed connections don't count as sends, but this many end the request.
+constexpr int max_unreachable = 4;
 
 }  // namespace
 
 void request_flow::send_next() {
-  if (time_left() < least_send_time) {
-    deadline_passed();
+  if (time_left() < min_send_time) {
+    on_deadline();
     return;
   }
   if (const auto refused =
-          terms_.check_key(parts_.configuration().get(), facts_);
-      refused && !answer_.begun()) {
+          routing_.check_key(context_.configuration().get(), facts_);
+      refused && !response_.begun()) {
     give_up(*refused);
     return;
   }
-  if (!attempt_.begin(
-          parts_.endpoints.choose(wanted(), parts_.loop.now_ms()))) {
-    give_up(why_none_is_chosen());
+  if (!attempt_.begin(context_.endpoints.choose(choice_criteria(),
+                                                context_.loop.now_ms()))) {
+    give_up(no_endpoint_error());
     return;
   }
   tried_.insert(attempt_.identity());
   may_run_ = true;
-  attempt_.send(outgoing(), observer());
-  arm_late_guard();
+  attempt_.send(forwarded_request(), observer());
+  guard_response_start();
 }
 
-errc request_flow::why_none_is_chosen() const {
+errc request_flow::no_endpoint_error() const {
   if (!tried_.empty()) {
     return errc::endpoints_full;
   }
-  const bool cold = parts_.endpoints.are_held_back_when_cold(
-      terms_.service(), parts_.loop.now_ms());
+  const bool cold = context_.endpoints.are_held_back_when_cold(
+      routing_.service(), context_.loop.now_ms());
   return cold ? errc::endpoints_cold : errc::no_runner;
 }
 
-endpoint_choice request_flow::wanted() const {
+endpoint_choice request_flow::choice_criteria() const {
   endpoint_choice made;
-  made.service = terms_.service();
-  made.preferred = turn_before();
-  made.data_centre = parts_.data_centre;
+  made.service = routing_.service();
+  made.preferred = previous_endpoint();
+  made.data_centre = context_.data_centre;
   made.excluded = &tried_;
-  made.once = terms_.once();
+  made.once = routing_.once();
   made.draw = XXH3_64bits_withSeed(facts_.attempt.data(), facts_.attempt.size(),
                                    tried_.size());
   made.connected = [this](const endpoint& each) {
-    return parts_.pool.has_idle(each.address, each.identity.text());
+    return context_.pool.has_idle(each.address, each.identity.text());
   };
   return made;
 }
 
-// Only model engines go by it.
+// Only model engines use it.
 std::optional<int> request_flow::urgency() const {
-  if (!terms_.at_engine()) {
+  if (!routing_.targets_engine()) {
     return std::nullopt;
   }
   turn_view turn;
   if (facts_.program_time_left) {
     turn.program_time_left = *facts_.program_time_left - elapsed_ms();
   }
-  turn.goes_on = program_goes_on_;
-  turn.rank = terms_.route().rank;
+  turn.goes_on = continues_program_;
+  turn.rank = routing_.route().rank;
   return urgency_of(turn);
 }
 
-endpoint_identity request_flow::turn_before() const {
+endpoint_identity request_flow::previous_endpoint() const {
   return history_.chain() == nullptr
              ? endpoint_identity()
              : endpoint_identity::parse(history_.chain()->endpoint);
 }
 
-http1_request request_flow::outgoing() const {
-  endpoint_directions directions;
-  directions.time_left = time_left();
-  directions.instance = attempt_.to()->identity.id;
-  directions.resume_after = answer_.last_event_id();
-  directions.workspace = terms_.workspace_name();
-  directions.urgency = urgency();
-  directions.hides_key = terms_.from()->workspaces.has_value();
-  http1_request made = platform::endpoint_request(request_, directions);
+http1_request request_flow::forwarded_request() const {
+  endpoint_directions options;
+  options.time_left = time_left();
+  options.instance = attempt_.to()->identity.id;
+  options.resume_after = response_.last_event_id();
+  options.workspace = routing_.workspace_name();
+  options.urgency = urgency();
+  options.hides_key = routing_.configuration()->workspaces.has_value();
+  http1_request made = platform::endpoint_request(request_, options);
   if (history_.chain() != nullptr) {
     made.body = history_.chain()->text + request_.body;
   }
@@ -104,115 +103,117 @@
   const auto self = shared_from_this();
   http1_observer made;
   made.on_head = [self](const http1_answer_head& head) {
-    return self->take_head(head);
+    return self->on_head(head);
   };
-  made.on_body = [self](std::string_view bytes) { self->take_body(bytes); };
-  made.on_end = [self](http1_end how) { self->attempt_ended(how); };
+  made.on_body = [self](std::string_view bytes) { self->on_body(bytes); };
+  made.on_end = [self](http1_end how) { self->on_attempt_end(how); };
   return made;
 }
 
-void request_flow::arm_late_guard() {
-  guard_against_silence(late().late_after(terms_.route().latency_objective));
+void request_flow::guard_response_start() {
+  arm_silence_timer(
+      slow_detector().late_after(routing_.route().latency_objective));
 }
 
-late_rule& request_flow::late() {
-  return parts_.late_rules
-      .try_emplace(std::string(terms_.service()), parts_.policy.late)
+late_rule& request_flow::slow_detector() {
+  return context_.slow_detectors
+      .try_emplace(std::string(routing_.service()),
+                   context_.policy.slow_endpoints)
       .first->second;
 }
 
-void request_flow::guard_against_silence(milliseconds longest) {
-  if (longest.count() == 0) {
+void request_flow::arm_silence_timer(milliseconds limit) {
+  if (limit.count() == 0) {
     return;
   }
   const std::weak_ptr<request_flow> weak = weak_from_this();
-  late_guard_ = parts_.loop.after(longest, [weak] {
-    const auto held = weak.lock();
-    if (held != nullptr && !held->ended_) {
-      held->endpoint_late();
+  silence_timer_ = context_.loop.after(limit, [weak] {
+    const auto flow = weak.lock();
+    if (flow != nullptr && !flow->ended_) {
+      flow->on_endpoint_slow();
     }
   });
 }
 
-void request_flow::endpoint_late() {
+void request_flow::on_endpoint_slow() {
   const bool begun = attempt_.status() != 0;
   if (!begun) {
-    late().answer_began(attempt_.age());
+    slow_detector().answer_began(attempt_.age());
   }
-  if (may_leave_late_endpoint(resend_state()) && late().leave()) {
-    parts_.metrics.add("late_endpoints_left_total");
-    leave_endpoint();
+  if (may_leave_late_endpoint(resend_state()) && slow_detector().leave()) {
+    context_.metrics.add("late_endpoints_left_total");
+    abandon_endpoint();
     return;
   }
-  if (begun || (terms_.stream() && !parts_.policy.warns_of_streams)) {
+  if (begun || (routing_.stream() && !context_.policy.reports_slow_streams)) {
     return;
   }
-  attempt_.suspect();
-  parts_.endpoint_failed(attempt_.identity());
+  attempt_.mark_slow();
+  context_.endpoint_failed(attempt_.identity());
 }
 
-bool request_flow::take_head(const http1_answer_head& head) {
-  answer_facts answer = platform::decode_answer(head);
-  if (!answer.attempt.empty() && answer.attempt != facts_.attempt) {
-    parts_.metrics.add("surplus_answers_total");
+bool request_flow::on_head(const http1_answer_head& head) {
+  answer_facts response = platform::decode_answer(head);
+  if (!response.attempt.empty() && response.attempt != facts_.attempt) {
+    context_.metrics.add("surplus_answers_total");
     log_warn("surplus_answer", {{"request", facts_.attempt},
-                                {"belongs_to", answer.attempt},
+                                {"belongs_to", response.attempt},
                                 {"endpoint", attempt_.endpoint_id()}});
     return false;
   }
-  late_guard_.cancel();
-  late().answer_began(attempt_.age());
-  attempt_.take_head(head, std::move(answer));
+  silence_timer_.cancel();
+  slow_detector().answer_began(attempt_.age());
+  attempt_.accept_head(head, std::move(response));
   report_.head_us = elapsed_us();
-  guard_pauses();
+  guard_event_gaps();
   return true;
 }
 
 bool request_flow::resumable() const {
-  return terms_.resumable() && parts_.policy.resumes_streams;
+  return routing_.resumable() && context_.policy.resumes_streams;
 }
 
-void request_flow::guard_pauses() {
+void request_flow::guard_event_gaps() {
   if (resumable() && may_leave_late_endpoint(resend_state())) {
-    const route& from = terms_.route();
-    guard_against_silence(late().late_after(
+    const route& from = routing_.route();
+    arm_silence_timer(slow_detector().late_after(
         std::max(from.longest_pause, from.latency_objective)));
   }
 }
 
 bool request_flow::passes_through() const {
-  return terms_.stream() && attempt_.succeeded() && !attempt_.invalid();
+  return routing_.stream() && attempt_.succeeded() && !attempt_.invalid();
 }
 
-void request_flow::take_body(std::string_view bytes) {
+void request_flow::on_body(std::string_view bytes) {
   if (ended_ || attempt_.invalid() || attempt_.not_executed()) {
     return;
   }
   if (!passes_through()) {
-    attempt_.hold_back(bytes);
+    attempt_.buffer(bytes);
     return;
   }
-  begin_answer();
-  if (!answer_.pass(bytes)) {
+  begin_response();
+  if (!response_.pass(bytes)) {
     log_warn("stream_repeated", {{"request", facts_.attempt},
                                  {"endpoint", attempt_.endpoint_id()}});
-    leave_endpoint();
+    abandon_endpoint();
     return;
   }
-  guard_pauses();
+  guard_event_gaps();
 }
 
-void request_flow::begin_answer() {
-  answer_.begin(attempt_.status(), platform::client_headers(attempt_.head()));
+void request_flow::begin_response() {
+  response_.begin(attempt_.status(), platform::client_headers(attempt_.head()));
 }
 
-void request_flow::leave_endpoint() {
+void request_flow::abandon_endpoint() {
   attempt_.cancel();
-  attempt_ended(http1_end::broken);
+  on_attempt_end(http1_end::broken);
 }
 
-void request_flow::attempt_ended(http1_end how) {
-  late_guard_.cancel();
+void request_flow::on_attempt_end(http1_end how) {
+  silence_timer_.cancel();
   if (ended_) {
     return;
   }
@@ -221,70 +222,70 @@
   switch (outcome) {
     case attempt_outcome::answered:
       ++report_.sends;
-      answer_client();
+      respond_to_client();
       return;
     case attempt_outcome::unreachable:
       ++report_.unreachable;
-      after_unreachable();
+      on_unreachable();
       return;
     case attempt_outcome::other_instance:
-      parts_.endpoint_superseded(attempt_.identity());
+      context_.endpoint_superseded(attempt_.identity());
       ++report_.sends;
-      after_refusal();
+      on_refused();
       return;
     case attempt_outcome::refused:
       ++report_.sends;
-      after_refusal();
+      on_refused();
       return;
     case attempt_outcome::broken:
       ++report_.sends;
       may_have_run_ = true;
-      parts_.endpoint_failed(attempt_.identity());
-      answer_broken();
+      context_.endpoint_failed(attempt_.identity());
+      on_response_broken();
       return;
     case attempt_outcome::cancelled:
-      return;  // ended where the client's going was seen
+      return;  // handled by on_client_disconnected()
   }
 }
 
-bool request_flow::sends_are_left() const {
-  return report_.sends < terms_.route().max_endpoints;
+bool request_flow::has_sends_left() const {
+  return report_.sends < routing_.route().max_endpoints;
 }
 
 resend_view request_flow::resend_state() const {
   resend_view made;
-  made.kind = terms_.route().kind;
+  made.kind = routing_.route().kind;
   made.resumable = resumable();
   made.sends = static_cast<std::uint32_t>(report_.sends);
-  made.most_sends = terms_.route().max_endpoints;
-  made.answer_begun = answer_.begun();
-  made.has_last_event = answer_.last_event_id().has_value();
+  made.most_sends = routing_.route().max_endpoints;
+  made.answer_begun = response_.begun();
+  made.has_last_event = response_.last_event_id().has_value();
   return made;
 }
 
-void request_flow::after_unreachable() {
+void request_flow::on_unreachable() {
   may_run_ = may_have_run_;
-  if (report_.unreachable < most_unreachable) {
+  if (report_.unreachable < max_unreachable) {
     send_next();
   } else {
     give_up(errc::no_runner);
   }
 }
 
-void request_flow::after_refusal() {
+void request_flow::on_refused() {
   may_run_ = may_have_run_;
-  if (sends_are_left()) {
+  if (has_sends_left()) {
     send_next();
   } else {
     give_up(errc::endpoints_full);
   }
 }
 
-void request_flow::answer_broken() {
+void request_flow::on_response_broken() {
   switch (resend_after_failure(resend_state())) {
     case resend::resume:
-      parts_.metrics.add("streams_resumed_total");
-      answer_.begin_run();
+      context_.metrics.add("streams_resumed_total");
+      response_.begin_run();
       send_next();
       return;
     case resend::again:
@@ -296,30 +297,30 @@
   fail(attempt_.invalid() ? errc::answer_invalid : errc::runner_failed);
 }
 
-void request_flow::answer_client() {
+void request_flow::respond_to_client() {
   if (passes_through()) {
-    begin_answer();
-    stream_complete();
+    begin_response();
+    on_stream_complete();
     return;
   }
-  if (answer_.begun()) {  // the run that was to go on failed
+  if (response_.begun()) {  // the resumed stream failed
     fail(errc::runner_failed);
     return;
   }
   history_.settle(0);
   end("answered", attempt_.status());
-  answer_.out().respond(attempt_.status(),
-                        platform::client_headers(attempt_.head()),
-                        attempt_.body());
+  response_.out().respond(attempt_.status(),
+                          platform::client_headers(attempt_.head()),
+                          attempt_.body());
 }
 
-void request_flow::stream_complete() {
-  if (terms_.route().keeps_history) {
-    keep_turn();
+void request_flow::on_stream_complete() {
+  if (routing_.route().keeps_history) {
+    store_turn();
     return;
   }
   end("answered", attempt_.status());
-  answer_.finish();
+  response_.finish();
   settle_begun_events();
 }
 
--- a/src/gateway/request_flow_history.cc
+++ b/src/gateway/request_flow_history.cc
@@ -1,4 +1,4 @@
-// A request's tokens and, if its route keeps history, its turn.
+// Token reservation of a request and, if its route keeps history, its turn.
 #include <algorithm>
 
 #include "request_flow_state.h"
@@ -6,29 +6,30 @@
 namespace trayrock::internal {
 namespace {
 
-// How long a turn waits for its reservation and its history. Two round trips
-// to the stores take under 20 ms; a voter's replacement about 2 s.
-constexpr milliseconds history_limit{1500};
-// How long the last piece of an answer waits for the turn to be durable.
-constexpr milliseconds finish_limit{2500};
+// Timeout for the reservation and the history: several round trips to the
+// stores.
+constexpr milliseconds history_timeout{1500};
+// Timeout for the turn to become durable before the response is finished.
+constexpr milliseconds store_timeout{2500};
 
 }  // namespace
 
 void request_flow::reserve() {
-  const milliseconds limit = std::min(history_limit, time_left());
+  const milliseconds limit = std::min(history_timeout, time_left());
   history_.reserve(limit,
-                   [self = shared_from_this()](result<reserved_turn> made) {
-                     self->reserve_done(std::move(made));
+                   [self = shared_from_this()](result<reserved_turn> reserved) {
+                     self->on_reserved(std::move(reserved));
                    });
 }
 
-void request_flow::reserve_done(result<reserved_turn> made) {
+void request_flow::on_reserved(result<reserved_turn> reserved) {
   report_.reserve_us = elapsed_us();
   if (ended_) {
     history_.settle(0);
     return;
   }
-  const std::optional<errc> refused = history_.judge(std::move(made));
+  const std::optional<errc> refused =
+      history_.check_reservation(std::move(reserved));
   if (refused) {
     refuse(*refused);
     return;
@@ -37,35 +38,35 @@
 }
 
 void request_flow::settle_begun_events() {
-  history_.settle(answer_.events().started_events() *
-                  terms_.tokens_per_event());
+  history_.settle(response_.events().started_events() *
+                  routing_.tokens_per_event());
 }
 
-void request_flow::keep_turn() {
+void request_flow::store_turn() {
   finished_turn turn;
   turn.input = request_.body;
-  turn.output = answer_.events().data();
-  turn.tokens = answer_.events().whole_events() * terms_.tokens_per_event();
+  turn.output = response_.events().data();
+  turn.tokens = response_.events().whole_events() * routing_.tokens_per_event();
   turn.endpoint = attempt_.identity().text();
   const std::uint64_t began = elapsed_us();
-  history_.keep(std::move(turn), finish_limit,
-                [self = shared_from_this(), began](std::error_code failed) {
-                  self->report_.keep_us = self->elapsed_us() - began;
-                  self->turn_kept(failed);
-                });
+  history_.store(std::move(turn), store_timeout,
+                 [self = shared_from_this(), began](std::error_code failed) {
+                   self->report_.keep_us = self->elapsed_us() - began;
+                   self->on_turn_stored(failed);
+                 });
 }
 
-void request_flow::turn_kept(std::error_code failed) {
+void request_flow::on_turn_stored(std::error_code failed) {
   if (ended_) {
     return;
   }
   if (failed) {
     end("not_durable", attempt_.status());
-    answer_.abort();
+    response_.abort();
     return;
   }
   end("answered", attempt_.status());
-  answer_.finish();
+  response_.finish();
 }
 
 }  // namespace trayrock::internal
--- a/src/gateway/request_flow_state.h
+++ b/src/gateway/request_flow_state.h
@@ -1,10 +1,6 @@
-// One request of a client, from its coming to the end of its answer: the state
-// that its sides share.
-//
-// The client's side (request_flow.cc) begins and ends it; its permit
-// (request_flow_permit.cc) lets it run; the endpoint's side
-// (request_flow_endpoint.cc) sends it and takes the answer; the history's side
-// (request_flow_history.cc) reserves tokens and keeps the turn.
+// State machine of one client request. Implemented in request_flow.cc (start,
+// deadline, end), request_flow_permit.cc (rate limit), request_flow_endpoint.cc
+// (sending and response) and request_flow_history.cc (tokens and turn).
 #pragma once
 
 #include <memory>
@@ -14,49 +10,49 @@
 #include <string_view>
 
 #include "trayrock/internal/decide/resend_rule.h"
-#include "trayrock/internal/gateway/client_answer.h"
+#include "trayrock/internal/gateway/client_response.h"
 #include "trayrock/internal/gateway/endpoint_attempt.h"
 #include "trayrock/internal/gateway/request_flow.h"
 #include "trayrock/internal/gateway/request_report.h"
-#include "trayrock/internal/gateway/request_terms.h"
+#include "trayrock/internal/gateway/request_routing.h"
 #include "trayrock/internal/gateway/turn_history.h"
 
 namespace trayrock::internal {
 
 class request_flow : public std::enable_shared_from_this<request_flow> {
  public:
-  request_flow(const gateway_parts& parts, http1_request request,
+  request_flow(const gateway_context& context, http1_request request,
                http1_exchange_ptr out);
 
   void start();
 
  private:
-  // ---- The client's side --------------------------------------------------
+  // ---- Start, deadline and end --------------------------------------------
 
-  // The request ends with its deadline, or when its client goes away.
-  void watch_ends();
+  void watch_deadline_and_client();
 
   milliseconds time_left() const;
-  void client_gone();
-  void deadline_passed();
+  void on_client_disconnected();
+  void on_deadline();
 
-  // No endpoint is left to try. That nothing has run is said only if it is so.
+  // Fails the request when no endpoint is left to try. The error says that
+  // nothing has run only if no endpoint may have run it.
   void give_up(errc why);
 
-  // Ends a request whose reservation may be open. An answer that has begun is
-  // cut, so that it does not look complete.
+  // Ends a request whose reservation may be open. A response that has begun is
+  // aborted, so that it doesn't look complete.
   void fail(errc why);
 
   void refuse(errc why);
-  milliseconds come_back_after(errc why) const;
+  milliseconds retry_after(errc why) const;
   milliseconds elapsed_ms() const;
   std::uint64_t elapsed_us() const;
 
-  // Why the endpoint was chosen.
+  // Why the endpoint was chosen, for the log.
   std::string placed_by() const;
 
-  // Refused requests may have no route, or not even a configuration.
-  void report_terms(bool answered);
+  // Rejected requests may have no route, or no configuration.
+  void report_routing(bool answered);
   void end(std::string_view outcome, int status);
 
   // ---- The permit (request_flow_permit.cc) --------------------------------
@@ -64,105 +60,103 @@
   bool needs_permit() const;
   permit_use use_of_permit() const;
   void acquire_permit();
-  void take_permit(const permit& given);
-  void take_permit(const limit_reached& reached);
-  void take_permit(const permit_unknown&);
+  void on_permit(const permit& given);
+  void on_permit(const limit_reached& reached);
+  void on_permit(const permit_unknown&);
 
-  // What no endpoint has run uses up nothing of the workspace's limit.
+  // A request that no endpoint may have run doesn't count towards the limit.
   void return_unused_permit();
 
-  // With its permit, if it needs one.
-  void go_on();
+  // Continues once the request has its permit, if it needs one.
+  void reserve_or_send();
 
-  // ---- History and budget -------------------------------------------------
+  // ---- History and budget (request_flow_history.cc) -----------------------
 
   void reserve();
-  void reserve_done(result<reserved_turn> made);
+  void on_reserved(result<reserved_turn> reserved);
 
-  // Every event that has begun may have reached the client.
+  // Settles the reservation by the events that may have reached the client,
+  // incomplete ones included.
   void settle_begun_events();
 
-  // The client learns that the answer is complete once the turn can not be
-  // lost any more.
-  void keep_turn();
-  void turn_kept(std::error_code failed);
+  // The response is finished only after the turn is durable.
+  void store_turn();
+  void on_turn_stored(std::error_code failed);
 
-  // ---- The endpoint's side ------------------------------------------------
+  // ---- Sending and response (request_flow_endpoint.cc) --------------------
 
   void send_next();
 
-  // What the next endpoint should be like.
-  endpoint_choice wanted() const;
-  errc why_none_is_chosen() const;
+  endpoint_choice choice_criteria() const;
+  errc no_endpoint_error() const;
   std::optional<int> urgency() const;
-  void note_program();
+  void record_program();
 
-  // The endpoint that made the turn before; empty if there is none.
-  endpoint_identity turn_before() const;
+  // The endpoint of the previous turn; empty if there is none.
+  endpoint_identity previous_endpoint() const;
 
-  http1_request outgoing() const;
+  http1_request forwarded_request() const;
   http1_observer observer();
 
-  // An endpoint that has not begun its answer within the route's objective is
-  // late, unless those of its service all take longer.
-  void arm_late_guard();
+  // An endpoint is slow if its response doesn't begin within the route's
+  // objective, unless all endpoints of the service take longer.
+  void guard_response_start();
 
-  late_rule& late();  // of the request's service
+  late_rule& slow_detector();  // of the request's service
 
-  // The endpoint is late when nothing comes from it for this long; zero: it
-  // never is.
-  void guard_against_silence(milliseconds longest);
+  // Calls on_endpoint_slow() when nothing is received for this long; zero
+  // disables the timer.
+  void arm_silence_timer(milliseconds limit);
 
-  // What may go on elsewhere does not wait for one slow endpoint forever. What
-  // may run only once waits on, but its endpoint is a warning to others: four
-  // endpoints that hung for 6.6 s held 37 streams, each for the two seconds
-  // until its client left, while streams gave no such warning.
-  void endpoint_late();
+  // A request that may run elsewhere is sent to another endpoint. One that may
+  // run only once keeps waiting, but its endpoint is reported to the other
+  // gateways, so that they send it fewer requests.
+  void on_endpoint_slow();
 
-  bool take_head(const http1_answer_head& head);
+  bool on_head(const http1_answer_head& head);
 
-  // A stream that may go on elsewhere does so when it pauses for longer than
-  // nearly all streams need to begin.
-  void guard_pauses();
+  // A resumable stream moves to another endpoint when the gap between events
+  // exceeds the time in which nearly all streams begin.
+  void guard_event_gaps();
 
-  // Whether the stream may go on at another endpoint.
+  // Whether the stream may be resumed at another endpoint.
   bool resumable() const;
 
   bool passes_through() const;
-  void take_body(std::string_view bytes);
-  void begin_answer();
+  void on_body(std::string_view bytes);
+  void begin_response();
 
-  // Ends the work at the endpoint; the request may go on at another one.
-  void leave_endpoint();
+  // Cancels the attempt; the request may be sent to another endpoint.
+  void abandon_endpoint();
 
-  void attempt_ended(http1_end how);
-  bool sends_are_left() const;
+  void on_attempt_end(http1_end how);
+  bool has_sends_left() const;
   resend_view resend_state() const;
-  void after_unreachable();
-  void after_refusal();
-  void answer_broken();
-  void answer_client();
-  void stream_complete();
+  void on_unreachable();
+  void on_refused();
+  void on_response_broken();
+  void respond_to_client();
+  void on_stream_complete();
 
-  gateway_parts parts_;
+  gateway_context context_;
   http1_request request_;
-  client_answer answer_;
+  client_response response_;
   request_facts facts_;
-  request_terms terms_;
+  request_routing routing_;
   turn_history history_;
   std::set<endpoint_identity> tried_;
   endpoint_attempt attempt_;
-  bool needs_record_ = false;  // of a reservation, or for its history
-  bool program_goes_on_ = false;
-  bool may_run_ = false;       // an endpoint has it, or has had it
-  bool may_have_run_ = false;  // a send ended without an answer
+  bool needs_record_ = false;  // needs a reservation or its history
+  bool continues_program_ = false;
+  bool may_run_ = false;       // an endpoint has it, or may have run it
+  bool may_have_run_ = false;  // a send ended without a response
   std::optional<permit> permit_;
-  milliseconds back_after_limit_{0};
+  milliseconds limit_retry_after_{0};
   bool ended_ = false;
   timer deadline_;
-  timer late_guard_;
+  timer silence_timer_;
   std::uint64_t began_us_;
-  request_report report_;  // filled in as the request goes on
+  request_report report_;
 };
 
 }  // namespace trayrock::internal
--- a/src/gateway/turn_history.cc
+++ b/src/gateway/turn_history.cc
@@ -6,13 +6,13 @@
 namespace trayrock {
 namespace {
 
-// Settlements are tried this long without anybody waiting.
-constexpr milliseconds settle_limit{4000};
+// No request waits for a settlement.
+constexpr milliseconds settle_timeout{4000};
 
-// The name of a workspace's turn or program among all. No header holds a line
-// feed, so that a client can not make another workspace's name, nor one of
-// those that belong to none. Empty stays empty.
-std::string kept_name(std::string_view workspace, const std::string& name) {
+// Prefixes the name of a turn or program with its workspace. Header values
+// can't contain a line feed, so that a client can't forge a name of another
+// workspace. Empty stays empty.
+std::string record_name(std::string_view workspace, const std::string& name) {
   if (workspace.empty() || name.empty()) {
     return name;
   }
@@ -26,20 +26,20 @@
 }
 
 bool turn_history::begin(const route& from, std::string_view workspace) {
-  attempt_ = kept_name(workspace, facts_.attempt);
-  program_ = kept_name(workspace, facts_.program);
-  previous_turn_ = kept_name(workspace, facts_.previous_turn);
+  attempt_ = record_name(workspace, facts_.attempt);
+  program_ = record_name(workspace, facts_.program);
+  previous_turn_ = record_name(workspace, facts_.previous_turn);
   reserved_ = has_budget();
   if (!from.keeps_history) {
     return reserved_;
   }
   retention_ = from.retention;
   chain_ = chains_.find(previous_turn_, loop_.now_ms());
-  asked_ = chain_ == nullptr ? previous_turn_ : std::string();
-  return reserved_ || !asked_.empty();
+  requested_chain_ = chain_ == nullptr ? previous_turn_ : std::string();
+  return reserved_ || !requested_chain_.empty();
 }
 
-void turn_history::reserve(milliseconds limit,
+void turn_history::reserve(milliseconds timeout,
                            record_client::reserve_callback done) {
   records::Reservation reservation;
   if (reserved_) {
@@ -47,34 +47,36 @@
     reservation.set_attempt(attempt_);
     reservation.set_tokens(facts_.most_output_tokens);
   }
-  records_.reserve(reservation, asked_, limit, std::move(done));
+  records_.reserve(reservation, requested_chain_, timeout, std::move(done));
 }
 
-std::optional<errc> turn_history::judge(result<reserved_turn> made) {
-  if (!made) {
+std::optional<errc> turn_history::check_reservation(
+    result<reserved_turn> reserved) {
+  if (!reserved) {
     settle(0);
     return errc::history_unavailable;
   }
-  if (!asked_.empty()) {
-    if (!made.value().chain_found) {
+  if (!requested_chain_.empty()) {
+    if (!reserved.value().chain_found) {
       settle(0);
       return errc::unknown_turn;
     }
-    chain_ = std::make_shared<const chain_cache::chain>(chain_cache::chain{
-        std::move(made.value().text), std::move(made.value().endpoint)});
+    chain_ = std::make_shared<const chain_cache::chain>(
+        chain_cache::chain{std::move(reserved.value().text),
+                           std::move(reserved.value().endpoint)});
     chains_.put(previous_turn_, chain_, retained_until_ms());
   }
   if (!has_budget()) {
     return std::nullopt;
   }
-  const std::optional<errc> refused = judge_budget(made.value().usage);
+  const std::optional<errc> refused = check_budget(reserved.value().usage);
   if (refused) {
     settle(0);
   }
   return refused;
 }
 
-std::optional<errc> turn_history::judge_budget(
+std::optional<errc> turn_history::check_budget(
     const program_usage& usage) const {
   const budget_verdict verdict =
       usage.decide(bytes_of(id_of(attempt_)), facts_.most_output_tokens,
@@ -103,7 +105,7 @@
   made.set_program(program_);
   made.set_attempt(attempt_);
   made.set_tokens(tokens);
-  records_.keep(std::move(record), settle_limit,
+  records_.keep(std::move(record), settle_timeout,
                 [attempt = facts_.attempt](std::error_code failed) {
                   if (failed) {
                     log_warn("settlement_lost", {{"request", attempt},
@@ -112,15 +114,15 @@
                 });
 }
 
-void turn_history::keep(finished_turn turn, milliseconds limit,
-                        record_client::done_callback done) {
+void turn_history::store(finished_turn turn, milliseconds timeout,
+                         record_client::done_callback done) {
   settled_ = true;
   records::Record record = record_of(turn);
-  records_.keep(std::move(record), limit,
+  records_.keep(std::move(record), timeout,
                 [this, turn = std::move(turn),
                  done = std::move(done)](std::error_code failed) {
                   if (!failed) {
-                    cache_grown_chain(turn);
+                    cache_extended_chain(turn);
                   }
                   done(failed);
                 });
@@ -140,14 +142,14 @@
   return record;
 }
 
-void turn_history::cache_grown_chain(const finished_turn& turn) {
-  auto grown = std::make_shared<chain_cache::chain>();
+void turn_history::cache_extended_chain(const finished_turn& turn) {
+  auto extended = std::make_shared<chain_cache::chain>();
   if (chain_ != nullptr) {
-    grown->text = chain_->text;
+    extended->text = chain_->text;
   }
-  grown->text.append(turn.input).append(turn.output);
-  grown->endpoint = turn.endpoint;
-  chains_.put(attempt_, grown, retained_until_ms());
+  extended->text.append(turn.input).append(turn.output);
+  extended->endpoint = turn.endpoint;
+  chains_.put(attempt_, extended, retained_until_ms());
 }
 
 std::uint64_t turn_history::retained_until_ms() const {
