--- a/test/gateway_policy_test.cc
+++ b/test/gateway_policy_test.cc
@@ -1,4 +1,4 @@
-// What a trial may leave out, and that nothing else changes with it.
+// Guards that each mechanism can be disabled alone, and none is by default.
 #include "trayrock/internal/gateway/gateway_policy.h"
 
 #include "test_support.h"
@@ -29,21 +29,21 @@
 
 class gateway_policy_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(gateway_policy_test);
-  CPPUNIT_TEST(every_mechanism_has_a_name_of_its_own);
-  CPPUNIT_TEST(each_mechanism_changes_the_policy);
-  CPPUNIT_TEST(nothing_is_left_out_by_itself);
-  CPPUNIT_TEST(settings_name_what_is_left_out);
-  CPPUNIT_TEST(unknown_mechanism_is_a_fault);
-  CPPUNIT_TEST(refusal_costs_no_pause_without_refusal_pauses);
-  CPPUNIT_TEST(endpoint_is_not_on_trial_without_trials);
-  CPPUNIT_TEST(turn_goes_by_load_without_previous_endpoint);
-  CPPUNIT_TEST(late_is_the_objective_without_comparison);
-  CPPUNIT_TEST(late_endpoint_is_kept_when_none_is_left);
-  CPPUNIT_TEST(stopping_gateway_reckons_with_a_fixed_time_without_durations);
+  CPPUNIT_TEST(mechanism_names_are_unique);
+  CPPUNIT_TEST(disabling_a_mechanism_changes_the_policy);
+  CPPUNIT_TEST(default_settings_disable_nothing);
+  CPPUNIT_TEST(settings_list_disabled_mechanisms);
+  CPPUNIT_TEST(unknown_mechanism_is_rejected);
+  CPPUNIT_TEST(refusal_causes_no_backoff_when_disabled);
+  CPPUNIT_TEST(no_probation_after_backoff_when_disabled);
+  CPPUNIT_TEST(turn_is_placed_by_load_when_affinity_is_disabled);
+  CPPUNIT_TEST(slow_threshold_is_the_objective_without_comparison);
+  CPPUNIT_TEST(slow_endpoint_is_not_abandoned_when_disabled);
+  CPPUNIT_TEST(stopping_gateway_assumes_a_fixed_duration_when_disabled);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void every_mechanism_has_a_name_of_its_own() {
+  void mechanism_names_are_unique() {
     std::set<mechanism> seen;
     for (const std::string_view name : mechanism_names()) {
       const std::optional<mechanism> known = mechanism_named(name);
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT_EQUAL(mechanism_names().size(), seen.size());
   }
 
-  void each_mechanism_changes_the_policy() {
+  void disabling_a_mechanism_changes_the_policy() {
     const std::set<mechanism> of_stores{mechanism::ready_learners};
     for (const std::string_view name : mechanism_names()) {
       const mechanism each = *mechanism_named(name);
@@ -64,7 +64,7 @@
     }
   }
 
-  void nothing_is_left_out_by_itself() {
+  void default_settings_disable_nothing() {
     fault_list faults;
     const gateway_settings read =
         read_gateway_settings(settings_text("{}"), faults);
@@ -73,7 +73,7 @@
                    gateway_policy());
   }
 
-  void settings_name_what_is_left_out() {
+  void settings_list_disabled_mechanisms() {
     fault_list faults;
     const gateway_settings read = read_gateway_settings(
         settings_text(R"({"without": ["relays", "lapses"]})"), faults);
@@ -83,7 +83,7 @@
                          names_of(read.service.trial_without));
   }
 
-  void unknown_mechanism_is_a_fault() {
+  void unknown_mechanism_is_rejected() {
     fault_list faults;
     read_gateway_settings(settings_text(R"({"without": ["gravity"]})"), faults);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, faults.size());
@@ -92,7 +92,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("trial/without"), faults[0].path);
   }
 
-  void refusal_costs_no_pause_without_refusal_pauses() {
+  void refusal_causes_no_backoff_when_disabled() {
     health_policy policy;
     policy.pauses_after_refusals = false;
     endpoint_health health(policy);
@@ -100,7 +100,7 @@
     CPPUNIT_ASSERT(!health.avoided(start_ms + 1));
   }
 
-  void endpoint_is_not_on_trial_without_trials() {
+  void no_probation_after_backoff_when_disabled() {
     health_policy policy;
     policy.tries_behind_pauses = false;
     endpoint_health health(policy);
@@ -109,7 +109,7 @@
     CPPUNIT_ASSERT(!health.on_trial(start_ms + 1000));
   }
 
-  void turn_goes_by_load_without_previous_endpoint() {
+  void turn_is_placed_by_load_when_affinity_is_disabled() {
     const auto endpoints = two_endpoints();
     endpoint_choice wanted;
     wanted.preferred = {"b"};
@@ -122,7 +122,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), free->record.identity.id);
   }
 
-  void late_is_the_objective_without_comparison() {
+  void slow_threshold_is_the_objective_without_comparison() {
     const std::chrono::milliseconds objective(200);
     late_policy policy;
     policy.limit = objective_alone{};
@@ -133,14 +133,14 @@
     CPPUNIT_ASSERT(rule.late_after(objective) == objective);
   }
 
-  void late_endpoint_is_kept_when_none_is_left() {
+  void slow_endpoint_is_not_abandoned_when_disabled() {
     late_policy policy;
     policy.leaves = false;
     CPPUNIT_ASSERT(!late_rule(policy).leave());
     CPPUNIT_ASSERT(late_rule().leave());
   }
 
-  void stopping_gateway_reckons_with_a_fixed_time_without_durations() {
+  void stopping_gateway_assumes_a_fixed_duration_when_disabled() {
     duration_book durations{by_fixed_time{}};
     for (int i = 0; i < 50; ++i) {
       durations.add("chat", std::chrono::milliseconds(20));
