--- a/test/workspace_path_test.cc
+++ b/test/workspace_path_test.cc
@@ -1,4 +1,4 @@
-// Keys and workspaces on the whole path, and a key that is taken away.
+// End-to-end tests of keys, workspaces and key revocation.
 #include <chrono>
 #include <csignal>
 #include <future>
@@ -49,17 +49,17 @@
 class workspace_path_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(workspace_path_test);
   CPPUNIT_TEST(only_a_known_key_is_served);
-  CPPUNIT_TEST(endpoint_learns_the_workspace_and_not_the_key);
-  CPPUNIT_TEST(key_in_a_trailer_is_none);
-  CPPUNIT_TEST(route_open_to_all_asks_for_no_key);
-  CPPUNIT_TEST(turn_of_another_workspace_is_not_known);
-  CPPUNIT_TEST(budgets_of_two_workspaces_do_not_meet);
-  CPPUNIT_TEST(kept_connection_gets_401_once_its_key_is_gone);
-  CPPUNIT_TEST(gateway_that_the_platform_ignores_serves_by_others_proofs);
-  CPPUNIT_TEST(no_key_is_served_once_nobody_reaches_the_platform);
-  CPPUNIT_TEST(gateway_that_was_frozen_serves_no_key_that_is_gone);
-  CPPUNIT_TEST(gateway_that_starts_behind_a_cut_from_all_serves_no_key);
-  CPPUNIT_TEST(gateway_that_starts_behind_a_cut_goes_by_anothers_proof);
+  CPPUNIT_TEST(endpoint_receives_the_workspace_and_not_the_key);
+  CPPUNIT_TEST(key_in_a_trailer_is_ignored);
+  CPPUNIT_TEST(public_route_requires_no_key);
+  CPPUNIT_TEST(turn_of_another_workspace_is_unknown);
+  CPPUNIT_TEST(budgets_of_workspaces_are_separate);
+  CPPUNIT_TEST(revoked_key_gets_401);
+  CPPUNIT_TEST(gateway_without_platform_uses_proofs_of_peers);
+  CPPUNIT_TEST(keys_are_rejected_when_no_gateway_reaches_the_platform);
+  CPPUNIT_TEST(suspended_gateway_rejects_a_revoked_key_on_resume);
+  CPPUNIT_TEST(gateway_that_starts_isolated_rejects_keys);
+  CPPUNIT_TEST(gateway_that_starts_without_platform_uses_a_peers_proof);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT_EQUAL(0, system.runs("s1") + system.runs("s2"));
   }
 
-  void endpoint_learns_the_workspace_and_not_the_key() {
+  void endpoint_receives_the_workspace_and_not_the_key() {
     service_deployment system(with_workspaces());
     system.start_all();
     auto headers = with_key("grower-key");
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT(!run["saw_key"].get<bool>());
   }
 
-  void key_in_a_trailer_is_none() {
+  void key_in_a_trailer_is_ignored() {
     service_deployment system(with_workspaces());
     system.start_all();
     const std::string seen = send_raw(
@@ -105,7 +105,7 @@
                    "expected 401, seen " << seen);
   }
 
-  void route_open_to_all_asks_for_no_key() {
+  void public_route_requires_no_key() {
     service_deployment system(with_workspaces());
     system.start_all();
     system.configure(2, open_route());
@@ -122,7 +122,7 @@
     CPPUNIT_ASSERT(!run["saw_key"].get<bool>());
   }
 
-  void turn_of_another_workspace_is_not_known() {
+  void turn_of_another_workspace_is_unknown() {
     service_deployment system(with_workspaces());
     system.start_all();
     const auto made = system.request("gateway-1", "/stream/a", "t1",
@@ -142,8 +142,8 @@
     CPPUNIT_ASSERT_EQUAL(0, system.runs("t2") + system.runs("t3"));
   }
 
-  // Both name their programs, and even their turns, alike.
-  void budgets_of_two_workspaces_do_not_meet() {
+  // Both workspaces use the same names for programs and turns.
+  void budgets_of_workspaces_are_separate() {
     service_deployment system(with_workspaces());
     system.start_all();
     constexpr int one_turn = 15;
@@ -162,7 +162,7 @@
     CPPUNIT_ASSERT_EQUAL(402, second.status);
   }
 
-  void kept_connection_gets_401_once_its_key_is_gone() {
+  void revoked_key_gets_401() {
     service_deployment system(with_workspaces());
     system.start_all();
     CPPUNIT_ASSERT_EQUAL(
@@ -181,9 +181,9 @@
                  .status);
   }
 
-  // One gateway's calls to the platform get no answer for three times the
-  // limit. The others tell it that nothing has changed.
-  void gateway_that_the_platform_ignores_serves_by_others_proofs() {
+  // The platform doesn't respond to one gateway for three times the revocation
+  // limit. The peers confirm that the configuration is unchanged.
+  void gateway_without_platform_uses_proofs_of_peers() {
     service_options options = with_workspaces();
     options.links = true;
     options.revocation_limit_ms = limit_ms;
@@ -206,7 +206,7 @@
                                                    << served + refused);
   }
 
-  void no_key_is_served_once_nobody_reaches_the_platform() {
+  void keys_are_rejected_when_no_gateway_reaches_the_platform() {
     service_options options = with_workspaces();
     options.revocation_limit_ms = limit_ms;
     service_deployment system(options);
@@ -238,7 +238,7 @@
     });
   }
 
-  void gateway_that_was_frozen_serves_no_key_that_is_gone() {
+  void suspended_gateway_rejects_a_revoked_key_on_resume() {
     service_options options = with_workspaces();
     options.revocation_limit_ms = limit_ms;
     service_deployment system(options);
@@ -252,22 +252,22 @@
                  .status == 401;
     });
     std::this_thread::sleep_for(std::chrono::milliseconds(limit_ms));
-    // It waits in the socket until the gateway wakes.
-    auto late = std::async(std::launch::async, [&] {
+    // It waits in the socket until the gateway resumes.
+    auto waiting = std::async(std::launch::async, [&] {
       return system.request("gateway-1", "/safe/a", "s2",
                             with_key("grower-key"));
     });
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     system.signal("gateway-1", SIGCONT);
-    const int status = late.get().status;
+    const int status = waiting.get().status;
 
     TRAYROCK_CHECK(status == 401 || status == 503,
                    "expected a refusal, seen " << status);
     CPPUNIT_ASSERT_EQUAL(0, system.runs("s2"));
   }
 
-  // Nobody can tell it a configuration, or prove one.
-  void gateway_that_starts_behind_a_cut_from_all_serves_no_key() {
+  // Neither the platform nor a peer can confirm a configuration.
+  void gateway_that_starts_isolated_rejects_keys() {
     service_options options = with_workspaces();
     options.gateways = 1;
     options.links = true;
@@ -288,9 +288,9 @@
     CPPUNIT_ASSERT_EQUAL(0, system.runs("s1"));
   }
 
-  // It goes by another gateway's proof from its start on, and no longer than
-  // that one may.
-  void gateway_that_starts_behind_a_cut_goes_by_anothers_proof() {
+  // The peer's proof is valid from the start, and expires as it does at the
+  // peer.
+  void gateway_that_starts_without_platform_uses_a_peers_proof() {
     service_options options = with_workspaces();
     options.links = true;
     options.revocation_limit_ms = limit_ms;
--- a/test/workspaces_test.cc
+++ b/test/workspaces_test.cc
@@ -1,4 +1,4 @@
-// Workspaces and keys as the operator writes them, and whose a key is.
+// Decoding of workspaces and keys, and lookup of a key's workspace.
 #include "platform/configuration_entry.h"
 #include "platform/messages.h"
 #include "test_support.h"
@@ -36,12 +36,12 @@
   CPPUNIT_TEST_SUITE(workspaces_test);
   CPPUNIT_TEST(key_belongs_to_its_workspace);
   CPPUNIT_TEST(configuration_without_workspaces_has_none);
-  CPPUNIT_TEST(list_without_workspaces_knows_no_key);
+  CPPUNIT_TEST(empty_workspace_list_accepts_no_key);
   CPPUNIT_TEST(workspace_may_have_no_key_and_no_limit);
-  CPPUNIT_TEST(unusable_workspaces_are_refused_with_their_number);
-  CPPUNIT_TEST(key_is_read_from_one_header_alone);
+  CPPUNIT_TEST(invalid_workspaces_are_rejected_with_their_error);
+  CPPUNIT_TEST(key_is_read_from_a_single_header_only);
   CPPUNIT_TEST(endpoint_gets_the_workspace_and_not_the_key);
-  CPPUNIT_TEST(endpoint_gets_no_workspace_that_a_client_names);
+  CPPUNIT_TEST(workspace_header_of_the_client_is_removed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -50,16 +50,16 @@
         decode({growers(), {{"name", "buyers"}, {"apiKeys", {"key-3"}}}});
 
     CPPUNIT_ASSERT(read.has_value());
-    const workspace_table& held = *read.value().workspaces;
-    const workspace* owner = held.owner_of("key-2");
+    const workspace_table& table = *read.value().workspaces;
+    const workspace* owner = table.owner_of("key-2");
     CPPUNIT_ASSERT(owner != nullptr);
     CPPUNIT_ASSERT_EQUAL(std::string("growers"), owner->name);
     CPPUNIT_ASSERT_EQUAL(3U, owner->rank.value());
     CPPUNIT_ASSERT_EQUAL(20.0, owner->requests_per_second);
     CPPUNIT_ASSERT_EQUAL(40.0, owner->burst);
-    CPPUNIT_ASSERT_EQUAL(std::string("buyers"), held.owner_of("key-3")->name);
+    CPPUNIT_ASSERT_EQUAL(std::string("buyers"), table.owner_of("key-3")->name);
     for (const char* unknown : {"", "key", "key-1 ", "key-22", "growers"}) {
-      TRAYROCK_CHECK(held.owner_of(unknown) == nullptr,
+      TRAYROCK_CHECK(table.owner_of(unknown) == nullptr,
                      "expected no owner of \"" << unknown << "\"");
     }
   }
@@ -74,8 +74,8 @@
     CPPUNIT_ASSERT(!read.value().workspaces.has_value());
   }
 
-  // An operator who takes the last workspace away does not open the doors.
-  void list_without_workspaces_knows_no_key() {
+  // Removing the last workspace must not allow access without a key.
+  void empty_workspace_list_accepts_no_key() {
     const auto read = decode(json::array());
 
     CPPUNIT_ASSERT(read.has_value());
@@ -87,13 +87,13 @@
     const auto read = decode({{{"name", "growers"}}});
 
     CPPUNIT_ASSERT(read.has_value());
-    const workspace* held = read.value().workspaces->find("growers");
-    CPPUNIT_ASSERT(held != nullptr);
-    CPPUNIT_ASSERT(!held->limited());
-    CPPUNIT_ASSERT(!held->rank.has_value());
+    const workspace* found = read.value().workspaces->find("growers");
+    CPPUNIT_ASSERT(found != nullptr);
+    CPPUNIT_ASSERT(!found->limited());
+    CPPUNIT_ASSERT(!found->rank.has_value());
   }
 
-  void unusable_workspaces_are_refused_with_their_number() {
+  void invalid_workspaces_are_rejected_with_their_error() {
     json same_name = growers();
     same_name["apiKeys"] = {"key-9"};
     json same_key = growers();
@@ -134,8 +134,8 @@
     }
   }
 
-  // Whoever reads the request next might go by the other one of two.
-  void key_is_read_from_one_header_alone() {
+  // With two headers, another reader of the request might use the other one.
+  void key_is_read_from_a_single_header_only() {
     header_list one;
     one.add("AUTHORIZATION", "bearer  key-1");
     header_list two = one;
@@ -163,7 +163,7 @@
     CPPUNIT_ASSERT(!sent.has("Authorization"));
   }
 
-  void endpoint_gets_no_workspace_that_a_client_names() {
+  void workspace_header_of_the_client_is_removed() {
     http1_request request;
     request.headers.add("Trayrock-Tenant", "buyers");
     request.headers.add("TRAYROCK-TENANT", "buyers");
