--- a/test/gateway_path_test.cc
+++ b/test/gateway_path_test.cc
@@ -1,4 +1,5 @@
-// The whole path through gateways, record stores and stand-ins.
+// End-to-end tests of gateways and record stores with a fake platform and fake
+// endpoints.
 #include <csignal>
 #include <future>
 #include <mutex>
@@ -19,39 +20,39 @@
 
 class gateway_path_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(gateway_path_test);
-  CPPUNIT_TEST(turn_goes_on_from_the_turn_before_at_another_gateway);
-  CPPUNIT_TEST(turn_without_a_known_previous_one_never_runs);
+  CPPUNIT_TEST(turn_continues_at_another_gateway);
+  CPPUNIT_TEST(turn_with_an_unknown_predecessor_does_not_run);
   CPPUNIT_TEST(program_with_spent_tokens_gets_402_and_does_not_run);
-  CPPUNIT_TEST(budget_holds_over_turns_that_keep_no_history);
-  CPPUNIT_TEST(turn_that_no_endpoint_ran_uses_no_budget);
-  CPPUNIT_TEST(request_that_may_run_once_is_not_sent_again_after_a_cut);
-  CPPUNIT_TEST(repeatable_request_goes_on_to_another_endpoint);
-  CPPUNIT_TEST(refusal_by_all_endpoints_says_when_to_come_back);
-  CPPUNIT_TEST(answer_without_seal_is_no_success);
-  CPPUNIT_TEST(stream_that_breaks_off_does_not_look_complete);
-  CPPUNIT_TEST(client_that_leaves_cancels_at_the_endpoint);
-  CPPUNIT_TEST(clients_cannot_set_the_systems_headers);
+  CPPUNIT_TEST(budget_applies_to_turns_without_history);
+  CPPUNIT_TEST(turn_that_did_not_run_uses_no_budget);
+  CPPUNIT_TEST(at_most_once_request_is_not_resent_after_a_lost_connection);
+  CPPUNIT_TEST(repeatable_request_is_resent_to_another_endpoint);
+  CPPUNIT_TEST(refusal_by_all_endpoints_has_retry_after);
+  CPPUNIT_TEST(response_without_seal_is_rejected);
+  CPPUNIT_TEST(interrupted_stream_does_not_look_complete);
+  CPPUNIT_TEST(client_disconnect_cancels_at_the_endpoint);
+  CPPUNIT_TEST(clients_cannot_set_internal_headers);
   CPPUNIT_TEST(unknown_route_is_404_and_a_new_one_is_served);
-  CPPUNIT_TEST(draining_endpoint_gets_nothing_new);
+  CPPUNIT_TEST(draining_endpoint_gets_no_new_requests);
   CPPUNIT_TEST(stopping_gateway_finishes_its_streams);
-  CPPUNIT_TEST(stopping_gateway_takes_nothing_new_after_a_while);
+  CPPUNIT_TEST(stopping_gateway_refuses_connections_near_its_end);
   CPPUNIT_TEST(stopping_gateway_serves_as_long_as_it_has_time);
-  CPPUNIT_TEST(stopping_gateway_answers_what_it_cannot_finish);
-  CPPUNIT_TEST(stopping_gateway_sends_every_answer);
-  CPPUNIT_TEST(gateway_serves_while_the_platform_is_out);
-  CPPUNIT_TEST(connections_beside_a_silent_one_are_not_used);
-  CPPUNIT_TEST(endpoint_that_hangs_with_a_stream_is_told_to_other_gateways);
-  CPPUNIT_TEST(former_instance_is_told_to_the_other_gateways);
-  CPPUNIT_TEST(configuration_comes_from_another_gateway);
-  CPPUNIT_TEST(gateway_whose_watch_is_lost_hears_of_leaving_endpoints);
-  CPPUNIT_TEST(endpoints_that_lapse_at_once_go_on_serving);
-  CPPUNIT_TEST(unusable_entry_takes_its_endpoint_out_until_a_later_one);
-  CPPUNIT_TEST(configuration_of_another_writer_is_not_in_force);
-  CPPUNIT_TEST(gateway_recovers_from_garbled_answers_of_the_platform);
+  CPPUNIT_TEST(stopping_gateway_responds_to_unfinished_requests);
+  CPPUNIT_TEST(stopping_gateway_sends_every_response);
+  CPPUNIT_TEST(gateway_serves_during_a_platform_outage);
+  CPPUNIT_TEST(idle_connections_are_dropped_after_one_goes_silent);
+  CPPUNIT_TEST(endpoint_that_hangs_with_a_stream_is_reported_to_other_gateways);
+  CPPUNIT_TEST(superseded_instance_is_reported_to_other_gateways);
+  CPPUNIT_TEST(configuration_is_fetched_from_another_gateway);
+  CPPUNIT_TEST(gateway_with_a_lost_watch_receives_endpoint_changes);
+  CPPUNIT_TEST(endpoints_that_expire_together_keep_serving);
+  CPPUNIT_TEST(invalid_entry_removes_its_endpoint_until_a_valid_one);
+  CPPUNIT_TEST(configuration_of_another_writer_is_ignored);
+  CPPUNIT_TEST(gateway_recovers_from_malformed_platform_responses);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void turn_goes_on_from_the_turn_before_at_another_gateway() {
+  void turn_continues_at_another_gateway() {
     service_deployment system;
     system.start_all();
     const http_answer first = system.turn("gateway-1", "t1", "", "one ");
@@ -66,7 +67,7 @@
         system.body_of("t3"));
   }
 
-  void turn_without_a_known_previous_one_never_runs() {
+  void turn_with_an_unknown_predecessor_does_not_run() {
     service_deployment system;
     system.start_all();
     const http_answer answer = system.turn("gateway-1", "t2", "t1", "two");
@@ -89,7 +90,7 @@
     CPPUNIT_ASSERT_EQUAL(0, system.runs("t2"));
   }
 
-  void budget_holds_over_turns_that_keep_no_history() {
+  void budget_applies_to_turns_without_history() {
     service_deployment system;
     system.start_all();
     // Each turn makes three events of two tokens and may make ten.
@@ -108,7 +109,7 @@
     CPPUNIT_ASSERT_EQUAL(0, system.runs("t3"));
   }
 
-  void turn_that_no_endpoint_ran_uses_no_budget() {
+  void turn_that_did_not_run_uses_no_budget() {
     service_deployment system;
     system.start_all();
     const std::string path = "/resumable-stream/a";
@@ -123,7 +124,7 @@
     CPPUNIT_ASSERT_EQUAL(0, system.runs("t1"));
   }
 
-  void request_that_may_run_once_is_not_sent_again_after_a_cut() {
+  void at_most_once_request_is_not_resent_after_a_lost_connection() {
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"cut_unanswered", 1}});
@@ -133,7 +134,7 @@
     CPPUNIT_ASSERT_EQUAL(1, system.runs("u1"));
   }
 
-  void repeatable_request_goes_on_to_another_endpoint() {
+  void repeatable_request_is_resent_to_another_endpoint() {
     service_deployment system;
     system.start_all();
     system.runner_fault("runner-1", {{"cut_unanswered", 100}});
@@ -146,7 +147,7 @@
     }
   }
 
-  void refusal_by_all_endpoints_says_when_to_come_back() {
+  void refusal_by_all_endpoints_has_retry_after() {
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"refuse", 10}});
@@ -158,7 +159,7 @@
     CPPUNIT_ASSERT_EQUAL(0, system.runs("u1"));
   }
 
-  void answer_without_seal_is_no_success() {
+  void response_without_seal_is_rejected() {
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"without_seal", 1}});
@@ -168,7 +169,7 @@
     CPPUNIT_ASSERT_EQUAL(1, system.runs("u1"));
   }
 
-  void stream_that_breaks_off_does_not_look_complete() {
+  void interrupted_stream_does_not_look_complete() {
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"cut_midway", 1}});
@@ -181,12 +182,12 @@
     TRAYROCK_CHECK(seen.find("data: t1-1") != std::string::npos,
                    "expected the first event, seen " << seen);
     TRAYROCK_CHECK(seen.find("0\r\n\r\n") == std::string::npos,
-                   "expected no end of the answer, seen " << seen);
+                   "expected no end of the response, seen " << seen);
     const http_answer next = system.turn("gateway-1", "t2", "t1", "two");
     CPPUNIT_ASSERT_EQUAL(404, next.status);
   }
 
-  void client_that_leaves_cancels_at_the_endpoint() {
+  void client_disconnect_cancels_at_the_endpoint() {
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"hang", 1}});
@@ -201,7 +202,7 @@
     });
   }
 
-  void clients_cannot_set_the_systems_headers() {
+  void clients_cannot_set_internal_headers() {
     service_deployment system;
     system.start_all();
     const http_answer answer =
@@ -227,13 +228,13 @@
                  .request("gateway-1", "/new/a", "n" + std::to_string(++tries))
                  .status == 200;
     });
-    // An older configuration that shows up late changes nothing.
+    // An older configuration that is received later must be ignored.
     system.configure(3);
     CPPUNIT_ASSERT_EQUAL(200,
                          system.request("gateway-1", "/new/a", "s2").status);
   }
 
-  void draining_endpoint_gets_nothing_new() {
+  void draining_endpoint_gets_no_new_requests() {
     service_deployment system;
     system.start_all();
     system.register_runner("runner-1", "draining");
@@ -270,9 +271,8 @@
     CPPUNIT_ASSERT_EQUAL(0, code);
   }
 
-  // A balancer that goes on sending gave a
-  // stopping gateway requests that it could not finish in time.
-  void stopping_gateway_takes_nothing_new_after_a_while() {
+  // Guards against requests from the balancer that can't be finished in time.
+  void stopping_gateway_refuses_connections_near_its_end() {
     service_options options;
     options.runner_events = 115;
     options.runner_pause_ms = 60;
@@ -291,8 +291,8 @@
     system.wait_end("gateway-1");
   }
 
-  // All gateways were stopped in turn and
-  // each refused connections seconds before its end, until none was left.
+  // Guards against an outage when all gateways are stopped one after another
+  // and each refuses connections too early.
   void stopping_gateway_serves_as_long_as_it_has_time() {
     service_options options;
     options.stop_limit_s = 30;
@@ -307,8 +307,8 @@
     system.kill("gateway-1");
   }
 
-  // What is left when the time is over gets an answer, not a closed connection.
-  void stopping_gateway_answers_what_it_cannot_finish() {
+  // Requests that are open at the end get a response, not a closed connection.
+  void stopping_gateway_responds_to_unfinished_requests() {
     service_options options;
     options.stop_limit_s = 4;
     service_deployment system(options);
@@ -324,9 +324,8 @@
     system.wait_end("gateway-1");
   }
 
-  // A process ended between the
-  // writing of an answer and its sending.
-  void stopping_gateway_sends_every_answer() {
+  // Guards against a process that ends before a written response is sent.
+  void stopping_gateway_sends_every_response() {
     service_options options;
     options.stop_limit_s = 2;
     service_deployment system(options);
@@ -360,7 +359,7 @@
                                  << " requests without an answer ran");
   }
 
-  void gateway_serves_while_the_platform_is_out() {
+  void gateway_serves_during_a_platform_outage() {
     service_deployment system;
     system.start_all();
     system.turn("gateway-1", "t1", "", "one ");
@@ -372,9 +371,9 @@
     CPPUNIT_ASSERT_EQUAL(200, call.status);
   }
 
-  // Connections may fall silent while new ones work. One that does costs a
-  // request; those beside it need not.
-  void connections_beside_a_silent_one_are_not_used() {
+  // Open connections may go silent while new ones work. The first silent one
+  // costs a request; the others must not.
+  void idle_connections_are_dropped_after_one_goes_silent() {
     service_options options;
     options.runners = 1;
     options.timeout_ms = 1500;
@@ -390,9 +389,9 @@
     CPPUNIT_ASSERT_EQUAL(200, next.status);
   }
 
-  // What can not be sent again must not be lost in numbers: the endpoint is a
-  // warning to all while the stream still waits.
-  void endpoint_that_hangs_with_a_stream_is_told_to_other_gateways() {
+  // The endpoint must be reported while the stream still waits, since streams
+  // that can't be resent would be lost at every gateway.
+  void endpoint_that_hangs_with_a_stream_is_reported_to_other_gateways() {
     service_options options;
     options.timeout_ms = 6000;
     service_deployment system(options);
@@ -401,15 +400,15 @@
     std::future<http_answer> waiting = std::async(std::launch::async, [&] {
       return system.turn("gateway-1", "t1", "", "one");
     });
-    wait_until("the other gateway hears of it", [&] {
+    wait_until("the other gateway receives the report", [&] {
       return system.metric("gateway-2", "endpoint_failures_reported_total") > 0;
     });
     CPPUNIT_ASSERT_EQUAL(504, waiting.get().status);
     CPPUNIT_ASSERT_EQUAL(1, system.runs("t1"));
   }
 
-  // The platform still lists an instance at whose address another one sits.
-  void former_instance_is_told_to_the_other_gateways() {
+  // The platform still lists an instance whose address another one has taken.
+  void superseded_instance_is_reported_to_other_gateways() {
     service_options options;
     options.runners = 1;
     service_deployment system(options);
@@ -419,15 +418,16 @@
         "servers", "former",
         service_deployment::endpoint_entry(
             "127.0.0.1:" + std::to_string(system.port("runner-1")), "ready"));
-    wait_until("gateway-2 is told of the former instance", [&system] {
-      system.request("gateway-1", "/unsafe/a", "u1");
-      return system.metric("gateway-2",
-                           "superseded_endpoints_reported_total") >= 1;
-    });
+    wait_until(
+        "gateway-2 receives the report of the superseded instance", [&system] {
+          system.request("gateway-1", "/unsafe/a", "u1");
+          return system.metric("gateway-2",
+                               "superseded_endpoints_reported_total") >= 1;
+        });
   }
 
-  // A gateway that the platform does not answer keeps up by the others.
-  void configuration_comes_from_another_gateway() {
+  // A gateway to which the platform doesn't respond uses its peers.
+  void configuration_is_fetched_from_another_gateway() {
     service_options options;
     options.links = true;
     service_deployment system(options);
@@ -448,10 +448,9 @@
     });
   }
 
-  // The connection under the watch carries nothing any more, without a word.
-  // That the watch is lost would show only when its wait is over, after up to
-  // ten seconds, and a platform call would have failed by then.
-  void gateway_whose_watch_is_lost_hears_of_leaving_endpoints() {
+  // The watch's connection goes silent without an error. Without reports from
+  // peers, the loss shows only when the watch times out, as a platform error.
+  void gateway_with_a_lost_watch_receives_endpoint_changes() {
     service_options options;
     options.links = true;
     service_deployment system(options);
@@ -461,9 +460,9 @@
 
     int sent = 0;
     wait_until("gateway-1 uses the other endpoint only", [&] {
-      constexpr int in_a_row = 6;
+      constexpr int consecutive_requests = 6;
       bool left = true;
-      for (int i = 0; i < in_a_row; ++i) {
+      for (int i = 0; i < consecutive_requests; ++i) {
         const std::string attempt = "u" + std::to_string(++sent);
         system.request("gateway-1", "/unsafe/a", attempt);
         left = left && !system.counts("runner-1")["runs"].contains(attempt);
@@ -475,15 +474,14 @@
     CPPUNIT_ASSERT_EQUAL(-1.0, system.metric("gateway-1", lost_calls));
   }
 
-  // The endpoints live, but their records have gone with an outage of the
-  // platform.
-  void endpoints_that_lapse_at_once_go_on_serving() {
+  // The endpoints run, but the platform has lost their records.
+  void endpoints_that_expire_together_keep_serving() {
     service_options options;
     options.runners = 4;
     service_deployment system(options);
     system.start_all();
     system.platform_fault({{"remove_all", "servers"}});
-    wait_until("the gateway knows that the records are gone", [&] {
+    wait_until("the gateway notices the removed records", [&] {
       const bool known =
           system.metric("gateway-1", "endpoint_lapses_total") > 0;
       CPPUNIT_ASSERT_EQUAL(200,
@@ -492,9 +490,9 @@
     });
   }
 
-  // Another writer's entry stood under the id of an endpoint, and the older
-  // record went on being used.
-  void unusable_entry_takes_its_endpoint_out_until_a_later_one() {
+  // Guards against using the older record of an endpoint whose entry another
+  // writer has overwritten.
+  void invalid_entry_removes_its_endpoint_until_a_valid_one() {
     service_deployment system;
     system.start_all();
     system.put_object("servers", "runner-1", {{"service", 3}});
@@ -506,7 +504,7 @@
       return system.counts("runner-1")["runs"].contains(attempt);
     };
     const std::string seen = "endpoint_entries_unusable_total{error=\"1519\"}";
-    wait_until("the gateway has seen the entry",
+    wait_until("the gateway has read the entry",
                [&] { return system.metric("gateway-1", seen) > 0; });
     for (int i = 0; i < 8; ++i) {
       CPPUNIT_ASSERT(!ran_at_first());
@@ -517,7 +515,7 @@
     wait_until("the endpoint serves again", ran_at_first);
   }
 
-  void configuration_of_another_writer_is_not_in_force() {
+  void configuration_of_another_writer_is_ignored() {
     service_deployment system;
     system.start_all();
     system.put_object("config", "other",
@@ -532,7 +530,7 @@
     });
   }
 
-  void gateway_recovers_from_garbled_answers_of_the_platform() {
+  void gateway_recovers_from_malformed_platform_responses() {
     service_deployment system;
     system.start_all();
     system.kill("gateway-1");
@@ -547,7 +545,7 @@
   }
 
  private:
-  // Two requests at once, over a link that is too slow for one connection.
+  // Two concurrent requests over a link that is too slow for one connection.
   static void open_two_connections(service_deployment& system) {
     fault_proxy& link = system.link("runner-1");
     link.set(link_fault::slow);
