--- a/test/kept_connection.cc
+++ b/test/kept_connection.cc
@@ -17,29 +17,29 @@
 
 using clock = std::chrono::steady_clock;
 
-// How far an answer has come.
-enum class progress { unfinished, whole, whole_and_last };
+// `complete_and_last`: the server closes the connection after the response.
+enum class progress { incomplete, complete, complete_and_last };
 
-progress progress_of(const std::string& answer) {
-  const std::size_t head = answer.find("\r\n\r\n");
+progress progress_of(const std::string& response) {
+  const std::size_t head = response.find("\r\n\r\n");
   if (head == std::string::npos) {
-    return progress::unfinished;
+    return progress::incomplete;
   }
-  const std::string headers = answer.substr(0, head);
-  const std::size_t body = answer.size() - head - 4;
+  const std::string headers = response.substr(0, head);
+  const std::size_t body = response.size() - head - 4;
   const std::string length_name = "Content-Length: ";
   const std::size_t length = headers.find(length_name);
-  const bool whole =
+  const bool complete =
       length == std::string::npos
-          ? answer.ends_with("0\r\n\r\n")
+          ? response.ends_with("0\r\n\r\n")
           : body >= std::strtoull(headers.c_str() + length + length_name.size(),
                                   nullptr, 10);
-  if (!whole) {
-    return progress::unfinished;
+  if (!complete) {
+    return progress::incomplete;
   }
   return headers.find("Connection: close") == std::string::npos
-             ? progress::whole
-             : progress::whole_and_last;
+             ? progress::complete
+             : progress::complete_and_last;
 }
 
 }  // namespace
@@ -75,10 +75,10 @@
     return {};
   }
   const auto sent = send(socket_, request.data(), request.size(), MSG_NOSIGNAL);
-  std::string answer;
+  std::string response;
   const auto end = clock::now() + std::chrono::seconds(seconds);
-  progress reached = progress::unfinished;
-  while (sent >= 0 && reached == progress::unfinished) {
+  progress reached = progress::incomplete;
+  while (sent >= 0 && reached == progress::incomplete) {
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
         end - clock::now());
     pollfd readable{socket_, POLLIN, 0};
@@ -91,13 +91,13 @@
     if (got <= 0) {
       break;
     }
-    answer.append(bytes.data(), static_cast<std::size_t>(got));
-    reached = progress_of(answer);
+    response.append(bytes.data(), static_cast<std::size_t>(got));
+    reached = progress_of(response);
   }
-  if (reached != progress::whole) {
+  if (reached != progress::complete) {
     close();
   }
-  return answer;
+  return response;
 }
 
 }  // namespace trayrock::testing
--- a/test/kept_connection.h
+++ b/test/kept_connection.h
@@ -1,5 +1,4 @@
-// A client's connection to one port of loopback that is kept from request to
-// request, until the server closes it.
+// A client's persistent (keep-alive) connection to a port on loopback.
 //
 // Example:
 //   kept_connection to_gateway(port);
@@ -17,9 +16,9 @@
   kept_connection& operator=(const kept_connection&) = delete;
   ~kept_connection() { close(); }
 
-  // Sends a request once and reads its answer: head and body as they came,
-  // nothing more than what came before the connection or the time ended. A
-  // kept connection that the server has closed is replaced beforehand.
+  // Sends a request once and returns the raw response: what was received before
+  // the connection ended or the timeout. Reconnects first if the server has
+  // closed the connection.
   std::string exchange(const std::string& request, int seconds);
 
  private:
--- a/test/key_probes.cc
+++ b/test/key_probes.cc
@@ -4,19 +4,19 @@
 namespace {
 
 constexpr std::chrono::seconds window{1};
-constexpr auto most_in_a_window =
+constexpr auto max_runs_per_window =
     static_cast<std::size_t>(key_probes::per_second + key_probes::burst);
 
 }  // namespace
 
 std::size_t key_probes::newest_key() const {
   const std::scoped_lock lock(guard_);
-  return gone_at_.size();
+  return revoked_at_.size();
 }
 
 seen_probe key_probes::next(std::mt19937& random) {
   const std::scoped_lock lock(guard_);
-  const std::size_t newest = gone_at_.size();
+  const std::size_t newest = revoked_at_.size();
   seen_probe made;
   made.attempt = "q" + std::to_string(number_++);
   made.key = random() % 3 == 0 ? random() % (newest + 1) : newest;
@@ -31,15 +31,15 @@
 
 void key_probes::key_taken_away() {
   const std::scoped_lock lock(guard_);
-  gone_at_.push_back(std::chrono::steady_clock::now());
+  revoked_at_.push_back(std::chrono::steady_clock::now());
 }
 
-bool key_probes::ran_too_late(const seen_probe& probe) const {
-  return probe.key < gone_at_.size() &&
-         probe.sent > gone_at_[probe.key] + revocation_limit;
+bool key_probes::ran_after_revocation(const seen_probe& probe) const {
+  return probe.key < revoked_at_.size() &&
+         probe.sent > revoked_at_[probe.key] + revocation_limit;
 }
 
-// What was sent and answered within a window ran in it.
+// A request that was sent and responded to within a window ran in it.
 std::vector<std::string> key_probes::faults(
     const std::map<std::string, int>& runs) const {
   const std::scoped_lock lock(guard_);
@@ -50,13 +50,14 @@
       continue;
     }
     ran.push_back(each);
-    if (ran_too_late(each)) {
-      found.push_back(each.attempt + " ran with a key that was taken away");
+    if (ran_after_revocation(each)) {
+      found.push_back(each.attempt + " ran with a revoked key");
     }
   }
-  for (std::size_t i = 0; i + most_in_a_window < ran.size(); ++i) {
-    if (ran[i + most_in_a_window].answered - ran[i].sent < window) {
-      found.push_back(ran[i].attempt + " begins a window beyond its limit");
+  for (std::size_t i = 0; i + max_runs_per_window < ran.size(); ++i) {
+    if (ran[i + max_runs_per_window].answered - ran[i].sent < window) {
+      found.push_back(ran[i].attempt +
+                      " begins a window that exceeds the limit");
     }
   }
   return found;
--- a/test/key_probes.h
+++ b/test/key_probes.h
@@ -1,9 +1,9 @@
-// What a soak knows of requests with keys that come and go, and checks of them.
+// Records requests with rotating keys in a soak test and checks them.
 //
-// One workspace has one key at a time and a limit. Requests are sent with the
-// newest key and with those before it; afterwards none may have run that was
-// sent too late behind the end of its key, and no window may hold more runs
-// than the limit allows.
+// One workspace has one key at a time and a rate limit. Requests use the newest
+// key or an earlier one. None may run that was sent later than the revocation
+// limit after its key was revoked, and no window may have more runs than the
+// rate limit allows.
 //
 // Example:
 //   key_probes probes;
@@ -23,10 +23,10 @@
 
 namespace trayrock::testing {
 
-// One request with a key that may have been taken away.
+// One request with a key that may have been revoked.
 struct seen_probe {
   std::string attempt;
-  std::size_t key = 0;  // which one, in the order of their coming
+  std::size_t key = 0;  // index of the key, in order of creation
   std::chrono::steady_clock::time_point sent;
   std::chrono::steady_clock::time_point answered;
 };
@@ -35,7 +35,7 @@
 class key_probes {
  public:
   static constexpr std::chrono::milliseconds revocation_limit{3000};
-  // No tolerance is granted, in windows of a second.
+  // Checked without tolerance, in windows of a second.
   static constexpr double per_second = 4;
   static constexpr double burst = 4;
 
@@ -45,25 +45,26 @@
 
   std::size_t newest_key() const;
 
-  // The next request, with the newest key in two of three.
+  // The next request; two of three use the newest key.
   seen_probe next(std::mt19937& random);
 
   void add(const seen_probe& ended);
 
-  // The platform has acknowledged that the newest key has gone.
+  // To be called when the platform has acknowledged the revocation of the
+  // newest key.
   void key_taken_away();
 
-  // `runs` are how often each attempt has run.
+  // `runs` maps attempts to the number of their runs.
   std::vector<std::string> faults(const std::map<std::string, int>& runs) const;
 
  private:
-  bool ran_too_late(const seen_probe& probe) const;
+  bool ran_after_revocation(const seen_probe& probe) const;
 
   mutable std::mutex guard_;
   int number_ = 0;
   std::vector<seen_probe> ended_;
-  // When the keys before the newest were certainly gone, in their order.
-  std::vector<std::chrono::steady_clock::time_point> gone_at_;
+  // When the keys before the newest were certainly revoked, by index.
+  std::vector<std::chrono::steady_clock::time_point> revoked_at_;
 };
 
 }  // namespace trayrock::testing
