--- a/test/gateway_unit_test.cc
+++ b/test/gateway_unit_test.cc
@@ -1,4 +1,4 @@
-// Decisions of gateway and record stores without I/O.
+// Decisions of gateways and record stores, without I/O.
 #include "platform/configuration_entry.h"
 #include "platform/documents.h"
 #include "platform/messages.h"
@@ -31,38 +31,38 @@
   return made;
 }
 
-class gateway_rules_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(gateway_rules_test);
+class gateway_unit_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(gateway_unit_test);
   CPPUNIT_TEST(longest_prefix_of_the_host_wins);
-  CPPUNIT_TEST(weights_split_by_key);
-  CPPUNIT_TEST(events_are_cut_at_any_byte);
+  CPPUNIT_TEST(service_weights_split_requests_by_key);
+  CPPUNIT_TEST(events_are_parsed_across_any_chunk_boundary);
   CPPUNIT_TEST(budget_fits_waits_or_is_spent);
-  CPPUNIT_TEST(turn_prefers_the_endpoint_of_the_turn_before);
-  CPPUNIT_TEST(failing_endpoint_is_left_alone_but_not_the_last_one);
-  CPPUNIT_TEST(close_endpoints_come_first);
-  CPPUNIT_TEST(close_endpoints_stay_first_until_they_are_loaded);
-  CPPUNIT_TEST(missing_endpoints_stay_a_moment_after_an_outage);
-  CPPUNIT_TEST(quorums_of_every_size_meet);
-  CPPUNIT_TEST(headers_are_decoded_and_the_systems_replaced);
-  CPPUNIT_TEST(garbled_documents_are_refused);
+  CPPUNIT_TEST(turn_prefers_the_previous_endpoint);
+  CPPUNIT_TEST(failing_endpoint_is_in_backoff_unless_it_is_the_last_one);
+  CPPUNIT_TEST(local_data_centre_is_preferred);
+  CPPUNIT_TEST(local_data_centre_is_preferred_until_loaded);
+  CPPUNIT_TEST(missing_endpoints_expire_with_a_delay_after_an_outage);
+  CPPUNIT_TEST(read_and_write_quorums_intersect);
+  CPPUNIT_TEST(headers_are_decoded_and_internal_ones_replaced);
+  CPPUNIT_TEST(malformed_documents_are_rejected);
   CPPUNIT_TEST(resumable_routes_are_decoded);
-  CPPUNIT_TEST(absurd_times_of_a_route_are_bounded);
+  CPPUNIT_TEST(out_of_range_durations_of_a_route_are_bounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void longest_prefix_of_the_host_wins() {
-    configuration held;
-    held.routes = {route_of("/a/"), route_of("/a/b/"), route_of("/c/")};
+    configuration config;
+    config.routes = {route_of("/a/"), route_of("/a/b/"), route_of("/c/")};
     CPPUNIT_ASSERT_EQUAL(
         std::string("/a/b/"),
-        find_route(held, "host:80", "/a/b/c?q=/c/")->path_prefix);
+        find_route(config, "host:80", "/a/b/c?q=/c/")->path_prefix);
     CPPUNIT_ASSERT_EQUAL(std::string("/a/"),
-                         find_route(held, "host", "/a/bc")->path_prefix);
-    CPPUNIT_ASSERT(find_route(held, "other", "/a/") == nullptr);
-    CPPUNIT_ASSERT(find_route(held, "host", "/d/") == nullptr);
+                         find_route(config, "host", "/a/bc")->path_prefix);
+    CPPUNIT_ASSERT(find_route(config, "other", "/a/") == nullptr);
+    CPPUNIT_ASSERT(find_route(config, "host", "/d/") == nullptr);
   }
 
-  void weights_split_by_key() {
+  void service_weights_split_requests_by_key() {
     route split = route_of("/a/");
     split.services = {{"most", 90}, {"few", 10}};
     int few = 0;
@@ -73,7 +73,7 @@
     CPPUNIT_ASSERT(pick_service(split, "x") == pick_service(split, "x"));
   }
 
-  void events_are_cut_at_any_byte() {
+  void events_are_parsed_across_any_chunk_boundary() {
     const std::string bytes =
         "id: 1\ndata: one\n\nid: 2\r\ndata:two\r\ndata: more\r\n\r\nid: 3\n";
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
@@ -89,7 +89,7 @@
   void budget_fits_waits_or_is_spent() {
     program_usage usage;
     usage.add({"a", 30, true, 20});
-    usage.add({"a", 30, false, 0});  // another store has not heard of its end
+    usage.add({"a", 30, false, 0});  // another store still has it as open
     usage.add({"b", 30, false, 0});
     usage.add({"own", 30, false, 0});
     CPPUNIT_ASSERT(usage.decide("own", 30, 80) == budget_verdict::fits);
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT(usage.decide("own", 30, 49) == budget_verdict::spent);
   }
 
-  void turn_prefers_the_endpoint_of_the_turn_before() {
+  void turn_prefers_the_previous_endpoint() {
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "x"), endpoint_of("b", "x")}, false,
                       {now});
@@ -110,7 +110,7 @@
                          directory.choose(wanted, now)->record.identity.id);
   }
 
-  void failing_endpoint_is_left_alone_but_not_the_last_one() {
+  void failing_endpoint_is_in_backoff_unless_it_is_the_last_one() {
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "x"), endpoint_of("b", "x")}, false,
                       {now});
@@ -124,7 +124,7 @@
                          directory.choose(wanted, now)->record.identity.id);
   }
 
-  void close_endpoints_come_first() {
+  void local_data_centre_is_preferred() {
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "far"), endpoint_of("b", "near")},
                       false, {now});
@@ -133,7 +133,7 @@
                          directory.choose(wanted, now)->record.identity.id);
   }
 
-  void close_endpoints_stay_first_until_they_are_loaded() {
+  void local_data_centre_is_preferred_until_loaded() {
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "far"), endpoint_of("b", "near")},
                       false, {now});
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("bbab"), chosen);
   }
 
-  void missing_endpoints_stay_a_moment_after_an_outage() {
+  void missing_endpoints_expire_with_a_delay_after_an_outage() {
     endpoint_directory directory;
     directory.replace({endpoint_of("a", "x"), endpoint_of("b", "x")}, false,
                       {now});
@@ -161,7 +161,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, directory.size());
   }
 
-  void quorums_of_every_size_meet() {
+  void read_and_write_quorums_intersect() {
     for (std::size_t tolerated = 0; tolerated <= 3; ++tolerated) {
       for (std::size_t voters = tolerated + 1; voters <= 9; ++voters) {
         const std::size_t writes = write_quorum(voters, tolerated);
@@ -174,7 +174,7 @@
     }
   }
 
-  void headers_are_decoded_and_the_systems_replaced() {
+  void headers_are_decoded_and_internal_ones_replaced() {
     http1_request request;
     request.method = "POST";
     request.headers.add("trayrock-attempt-id", "a1");
@@ -201,7 +201,7 @@
         std::string(sent.headers.find("Trayrock-Deadline-Ms")));
   }
 
-  void garbled_documents_are_refused() {
+  void malformed_documents_are_rejected() {
     platform::stored_object object;
     object.name = "main";
     for (const char* spec :
@@ -223,7 +223,7 @@
         configured_with({{"resumable", "yes"}})));
   }
 
-  void absurd_times_of_a_route_are_bounded() {
+  void out_of_range_durations_of_a_route_are_bounded() {
     using std::chrono::milliseconds;
     const route odd = decoded_route(
         {{"sloMs", -5}, {"gapTargetMs", "long"}, {"timeoutMs", 1e300}});
@@ -233,7 +233,7 @@
   }
 
  private:
-  // A configuration of one route with some more fields.
+  // A configuration of one route with additional fields.
   static platform::stored_object configured_with(const nlohmann::json& more) {
     nlohmann::json from = {{"host", "h"},
                            {"pathPrefix", "/a/"},
@@ -256,7 +256,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(gateway_rules_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(gateway_unit_test);
 
 }  // namespace
 }  // namespace trayrock::testing
