--- a/test/gateway_path_test.cc
+++ b/test/gateway_path_test.cc
@@ -70,10 +70,10 @@
   void turn_with_an_unknown_predecessor_does_not_run() {
     service_deployment system;
     system.start_all();
-    const http_answer answer = system.turn("gateway-1", "t2", "t1", "two");
+    const http_answer response = system.turn("gateway-1", "t2", "t1", "two");
 
-    CPPUNIT_ASSERT_EQUAL(404, answer.status);
-    CPPUNIT_ASSERT_EQUAL(code_unknown_turn, answer.error_code());
+    CPPUNIT_ASSERT_EQUAL(404, response.status);
+    CPPUNIT_ASSERT_EQUAL(code_unknown_turn, response.error_code());
     CPPUNIT_ASSERT_EQUAL(0, system.runs("t2"));
   }
 
@@ -128,9 +128,9 @@
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"cut_unanswered", 1}});
-    const http_answer answer = system.request("gateway-1", "/unsafe/a", "u1");
+    const http_answer response = system.request("gateway-1", "/unsafe/a", "u1");
 
-    CPPUNIT_ASSERT_EQUAL(502, answer.status);
+    CPPUNIT_ASSERT_EQUAL(502, response.status);
     CPPUNIT_ASSERT_EQUAL(1, system.runs("u1"));
   }
 
@@ -140,10 +140,10 @@
     system.runner_fault("runner-1", {{"cut_unanswered", 100}});
     for (int i = 0; i < 4; ++i) {
       const std::string attempt = "s" + std::to_string(i);
-      const http_answer answer =
+      const http_answer response =
           system.request("gateway-1", "/safe/a", attempt);
-      CPPUNIT_ASSERT_EQUAL(200, answer.status);
-      CPPUNIT_ASSERT_EQUAL("answer to " + attempt, answer.body);
+      CPPUNIT_ASSERT_EQUAL(200, response.status);
+      CPPUNIT_ASSERT_EQUAL("answer to " + attempt, response.body);
     }
   }
 
@@ -151,10 +151,10 @@
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"refuse", 10}});
-    const http_answer answer = system.request("gateway-1", "/unsafe/a", "u1");
+    const http_answer response = system.request("gateway-1", "/unsafe/a", "u1");
 
-    CPPUNIT_ASSERT_EQUAL(503, answer.status);
-    TRAYROCK_CHECK(answer.headers.contains("retry-after"),
+    CPPUNIT_ASSERT_EQUAL(503, response.status);
+    TRAYROCK_CHECK(response.headers.contains("retry-after"),
                    "expected Retry-After, seen none");
     CPPUNIT_ASSERT_EQUAL(0, system.runs("u1"));
   }
@@ -163,9 +163,9 @@
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"without_seal", 1}});
-    const http_answer answer = system.request("gateway-1", "/unsafe/a", "u1");
+    const http_answer response = system.request("gateway-1", "/unsafe/a", "u1");
 
-    CPPUNIT_ASSERT_EQUAL(502, answer.status);
+    CPPUNIT_ASSERT_EQUAL(502, response.status);
     CPPUNIT_ASSERT_EQUAL(1, system.runs("u1"));
   }
 
@@ -173,16 +173,16 @@
     service_deployment system;
     system.start_all();
     fault_everywhere(system, {{"cut_midway", 1}});
-    const std::string seen =
+    const std::string response =
         send_raw(system.port("gateway-1"),
                  "POST /stream/a HTTP/1.1\r\nHost: local\r\n"
                  "Trayrock-Attempt-Id: t1\r\nContent-Length: 3\r\n\r\none",
                  10);
 
-    TRAYROCK_CHECK(seen.find("data: t1-1") != std::string::npos,
-                   "expected the first event, seen " << seen);
-    TRAYROCK_CHECK(seen.find("0\r\n\r\n") == std::string::npos,
-                   "expected no end of the response, seen " << seen);
+    TRAYROCK_CHECK(response.find("data: t1-1") != std::string::npos,
+                   "expected the first event, seen " << response);
+    TRAYROCK_CHECK(response.find("0\r\n\r\n") == std::string::npos,
+                   "expected no end of the response, seen " << response);
     const http_answer next = system.turn("gateway-1", "t2", "t1", "two");
     CPPUNIT_ASSERT_EQUAL(404, next.status);
   }
@@ -205,10 +205,10 @@
   void clients_cannot_set_internal_headers() {
     service_deployment system;
     system.start_all();
-    const http_answer answer =
+    const http_answer response =
         system.request("gateway-1", "/safe/a", "s1",
                        {{"Trayrock-Expect-Instance", "somebody-else"}});
-    CPPUNIT_ASSERT_EQUAL(200, answer.status);
+    CPPUNIT_ASSERT_EQUAL(200, response.status);
   }
 
   void unknown_route_is_404_and_a_new_one_is_served() {
@@ -257,17 +257,17 @@
     options.runner_pause_ms = 50;
     service_deployment system(options);
     system.start_all();
-    http_answer answer;
+    http_answer response;
     std::jthread client(
-        [&] { answer = system.turn("gateway-1", "t1", "", "one"); });
+        [&] { response = system.turn("gateway-1", "t1", "", "one"); });
     wait_until("the turn runs", [&] { return system.runs("t1") == 1; });
     system.signal("gateway-1", SIGTERM);
     client.join();
     const int code = system.wait_end("gateway-1");
 
-    CPPUNIT_ASSERT_EQUAL(200, answer.status);
-    TRAYROCK_CHECK(answer.body.find("t1-40") != std::string::npos,
-                   "expected the last event, seen " << answer.body);
+    CPPUNIT_ASSERT_EQUAL(200, response.status);
+    TRAYROCK_CHECK(response.body.find("t1-40") != std::string::npos,
+                   "expected the last event, seen " << response.body);
     CPPUNIT_ASSERT_EQUAL(0, code);
   }
 
@@ -482,11 +482,11 @@
     system.start_all();
     system.platform_fault({{"remove_all", "servers"}});
     wait_until("the gateway notices the removed records", [&] {
-      const bool known =
+      const bool expired =
           system.metric("gateway-1", "endpoint_lapses_total") > 0;
       CPPUNIT_ASSERT_EQUAL(200,
                            system.request("gateway-1", "/safe/a", "s1").status);
-      return known;
+      return expired;
     });
   }
 
@@ -503,9 +503,10 @@
           200, system.request("gateway-1", "/safe/a", attempt).status);
       return system.counts("runner-1")["runs"].contains(attempt);
     };
-    const std::string seen = "endpoint_entries_unusable_total{error=\"1519\"}";
+    const std::string invalid_entries =
+        "endpoint_entries_unusable_total{error=\"1519\"}";
     wait_until("the gateway has read the entry",
-               [&] { return system.metric("gateway-1", seen) > 0; });
+               [&] { return system.metric("gateway-1", invalid_entries) > 0; });
     for (int i = 0; i < 8; ++i) {
       CPPUNIT_ASSERT(!ran_at_first());
     }
--- a/test/gateway_policy_test.cc
+++ b/test/gateway_policy_test.cc
@@ -44,14 +44,14 @@
 
  public:
   void mechanism_names_are_unique() {
-    std::set<mechanism> seen;
+    std::set<mechanism> distinct;
     for (const std::string_view name : mechanism_names()) {
       const std::optional<mechanism> known = mechanism_named(name);
       CPPUNIT_ASSERT_MESSAGE(std::string(name), known.has_value());
       CPPUNIT_ASSERT_EQUAL(std::string(name), names_of({*known}));
-      seen.insert(*known);
+      distinct.insert(*known);
     }
-    CPPUNIT_ASSERT_EQUAL(mechanism_names().size(), seen.size());
+    CPPUNIT_ASSERT_EQUAL(mechanism_names().size(), distinct.size());
   }
 
   void disabling_a_mechanism_changes_the_policy() {
--- a/test/kept_connection.h
+++ b/test/kept_connection.h
@@ -2,7 +2,7 @@
 //
 // Example:
 //   kept_connection to_gateway(port);
-//   const std::string answer = to_gateway.exchange(request, 10);
+//   const std::string response = to_gateway.exchange(request, 10);
 #pragma once
 
 #include <string>
--- a/test/workspace_path_test.cc
+++ b/test/workspace_path_test.cc
@@ -94,15 +94,15 @@
   void key_in_a_trailer_is_ignored() {
     service_deployment system(with_workspaces());
     system.start_all();
-    const std::string seen = send_raw(
+    const std::string response = send_raw(
         system.port("gateway-1"),
         "POST /safe/a HTTP/1.1\r\nHost: local\r\nTrayrock-Attempt-Id: s1\r\n"
         "Trailer: Authorization\r\nTransfer-Encoding: chunked\r\n\r\n"
         "3\r\none\r\n0\r\nAuthorization: Bearer grower-key\r\n\r\n",
         2);
 
-    TRAYROCK_CHECK(seen.starts_with("HTTP/1.1 401"),
-                   "expected 401, seen " << seen);
+    TRAYROCK_CHECK(response.starts_with("HTTP/1.1 401"),
+                   "expected 401, seen " << response);
   }
 
   void public_route_requires_no_key() {
@@ -114,9 +114,9 @@
     });
     auto headers = with_key("grower-key");
     headers["Trayrock-Tenant"] = "growers";
-    const auto answer = system.request("gateway-1", "/open/a", "s2", headers);
+    const auto response = system.request("gateway-1", "/open/a", "s2", headers);
 
-    CPPUNIT_ASSERT_EQUAL(200, answer.status);
+    CPPUNIT_ASSERT_EQUAL(200, response.status);
     const json run = system.run_of("s2");
     CPPUNIT_ASSERT(run["workspaces"].empty());
     CPPUNIT_ASSERT(!run["saw_key"].get<bool>());
@@ -195,10 +195,10 @@
     int served = 0;
     while (std::chrono::steady_clock::now() - begun <
            std::chrono::milliseconds(3 * limit_ms)) {
-      const auto answer = system.request("gateway-1", "/safe/a",
-                                         "s" + std::to_string(served + refused),
-                                         with_key("grower-key"));
-      ++(answer.status == 200 ? served : refused);
+      const auto response = system.request(
+          "gateway-1", "/safe/a", "s" + std::to_string(served + refused),
+          with_key("grower-key"));
+      ++(response.status == 200 ? served : refused);
     }
 
     TRAYROCK_CHECK(refused == 0 && served > 0, "expected none refused, seen "
@@ -277,14 +277,14 @@
     system.kill("gateway-1");
     system.link("platform of gateway-1").set(link_fault::silence);
     system.start("gateway-1");
-    http_answer answer;
+    http_answer response;
     wait_until("the gateway answers", [&] {
-      answer =
+      response =
           system.request("gateway-1", "/safe/a", "s1", with_key("grower-key"));
-      return answer.status != 0;
+      return response.status != 0;
     });
 
-    CPPUNIT_ASSERT_EQUAL(503, answer.status);
+    CPPUNIT_ASSERT_EQUAL(503, response.status);
     CPPUNIT_ASSERT_EQUAL(0, system.runs("s1"));
   }
 
--- a/test/workspaces_test.cc
+++ b/test/workspaces_test.cc
@@ -89,7 +89,7 @@
     CPPUNIT_ASSERT(read.has_value());
     const workspace* found = read.value().workspaces->find("growers");
     CPPUNIT_ASSERT(found != nullptr);
-    CPPUNIT_ASSERT(!found->limited());
+    CPPUNIT_ASSERT(!found->is_limited());
     CPPUNIT_ASSERT(!found->rank.has_value());
   }
 
