--- a/include/trayrock/internal/gateway/client_response.h
+++ b/include/trayrock/internal/gateway/client_response.h
@@ -4,7 +4,7 @@
 // The head is that of the first endpoint, also after a resumption.
 //
 // Example:
-//   client_response response(out);
+//   client_response response(exchange);
 //   response.begin(200, headers);
 //   response.pass(bytes);
 //   response.finish();
@@ -23,10 +23,11 @@
 
 class client_response {
  public:
-  explicit client_response(http1_exchange_ptr out) : out_(std::move(out)) {}
+  explicit client_response(http1_exchange_ptr exchange)
+      : out_(std::move(exchange)) {}
 
-  http1_exchange& out() { return *out_; }
-  bool begun() const { return out_->begun(); }
+  http1_exchange& exchange() { return *out_; }
+  bool has_begun() const { return out_->begun(); }
 
   // From now on, only complete events are passed on.
   void make_resumable() { resumable_ = true; }
--- a/include/trayrock/internal/gateway/endpoint_attempt.h
+++ b/include/trayrock/internal/gateway/endpoint_attempt.h
@@ -39,13 +39,13 @@
   endpoint_attempt& operator=(const endpoint_attempt&) = delete;
 
   // Begins an attempt. False if the endpoint is nullptr.
-  bool begin(endpoint_state_ptr to);
+  bool begin(endpoint_state_ptr target);
 
   void send(const http1_request& request, http1_observer observer);
   void cancel() { call_.cancel(); }
 
   // The endpoint's record; nullptr if there is no endpoint.
-  const endpoint* to() const {
+  const endpoint* target() const {
     return endpoint_ == nullptr ? nullptr : &endpoint_->record;
   }
   // Empty if there is no endpoint.
@@ -71,7 +71,7 @@
   const std::string& body() const { return body_; }
 
   // True when the response must not be passed on.
-  bool invalid() const { return invalid_; }
+  bool is_invalid() const { return invalid_; }
 
   attempt_outcome outcome_of(http1_end how) const;
 
--- a/include/trayrock/internal/gateway/gateway_lifecycle.h
+++ b/include/trayrock/internal/gateway/gateway_lifecycle.h
@@ -8,7 +8,7 @@
 // Example:
 //   gateway_lifecycle lifecycle(loop, clients, stop_limit, by_balancer{});
 //   lifecycle.begin();          // connections wait
-//   lifecycle.begin_serving();  // once requests can be answered
+//   lifecycle.begin_serving();  // once requests can be served
 //   lifecycle.begin_drain();    // on SIGTERM
 //   loop.run();
 //   return lifecycle.exit_code();
--- a/include/trayrock/internal/gateway/request_facts.h
+++ b/include/trayrock/internal/gateway/request_facts.h
@@ -3,7 +3,7 @@
 //
 // Example:
 //   const request_facts facts = platform::decode_request(request);
-//   if (facts.attempt.empty()) refuse();
+//   if (facts.attempt.empty()) reject();
 #pragma once
 
 #include <chrono>
--- a/include/trayrock/internal/gateway/request_routing.h
+++ b/include/trayrock/internal/gateway/request_routing.h
@@ -4,12 +4,12 @@
 //
 // Example:
 //   request_routing routing;
-//   if (const auto why = routing.resolve(configuration, request, facts)) {
-//     refuse(*why);
+//   if (const auto error = routing.resolve(configuration, request, facts)) {
+//     reject(*error);
 //   }
-//   if (const auto why = routing.apply_time_limits(facts, durations,
+//   if (const auto error = routing.apply_time_limits(facts, durations,
 //   time_to_shutdown)) {
-//     refuse(*why);
+//     reject(*error);
 //   }
 //   routing.route().name;
 #pragma once
@@ -57,10 +57,10 @@
   // The following require a route.
   const trayrock::route& route() const { return *route_; }
   std::string_view service() const { return service_; }
-  bool repeatable() const { return route_->kind == repetition::repeatable; }
-  bool once() const { return route_->kind == repetition::once; }
-  bool stream() const { return route_->kind == repetition::stream; }
-  bool resumable() const { return stream() && route_->resumable; }
+  bool is_repeatable() const { return route_->kind == repetition::repeatable; }
+  bool is_at_most_once() const { return route_->kind == repetition::once; }
+  bool is_stream() const { return route_->kind == repetition::stream; }
+  bool is_resumable() const { return is_stream() && route_->resumable; }
 
   bool requires_key() const {
     return configuration_->workspaces.has_value() && !route_->open_to_all;
--- a/include/trayrock/internal/gateway/turn_history.h
+++ b/include/trayrock/internal/gateway/turn_history.h
@@ -10,7 +10,7 @@
 //   turn_history history(loop, records, chains, facts);
 //   if (history.begin(route)) {
 //     history.reserve(timeout, [&](result<reserved_turn> reserved) {
-//       const std::optional<errc> refused =
+//       const std::optional<errc> error =
 //           history.check_reservation(std::move(reserved));
 //       ...
 //     });
--- a/include/trayrock/internal/gateway/workspaces.h
+++ b/include/trayrock/internal/gateway/workspaces.h
@@ -28,7 +28,7 @@
   double requests_per_second = 0;     // 0: no limit
   double burst = 0;                   // requests above that
 
-  bool limited() const { return requests_per_second > 0; }
+  bool is_limited() const { return requests_per_second > 0; }
 };
 
 struct workspace_keys {
--- a/src/gateway/endpoint_attempt.cc
+++ b/src/gateway/endpoint_attempt.cc
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-bool endpoint_attempt::begin(endpoint_state_ptr to) {
-  endpoint_ = std::move(to);
+bool endpoint_attempt::begin(endpoint_state_ptr target) {
+  endpoint_ = std::move(target);
   if (endpoint_ == nullptr) {
     return false;
   }
@@ -47,9 +47,9 @@
 
 void endpoint_attempt::send(const http1_request& request,
                             http1_observer observer) {
-  const endpoint& to = endpoint_->record;
-  call_ =
-      pool_.start(to.address, to.identity.text(), request, std::move(observer));
+  const endpoint& target = endpoint_->record;
+  call_ = pool_.start(target.address, target.identity.text(), request,
+                      std::move(observer));
 }
 
 endpoint_identity endpoint_attempt::identity() const {
--- a/src/gateway/gateway_main.cc
+++ b/src/gateway/gateway_main.cc
@@ -36,7 +36,7 @@
         pool_(loop_),
         platform_(loop_, settings.service.platform, metrics_,
                   probe_pace_within(reconnect_ms(settings))),
-        peers_(loop_, {}),
+        peer_server_(loop_, {}),
         records_(loop_, rpc_, settings.service.data_centre, metrics_),
         permits_(loop_, rpc_, records_, metrics_, settings.service.data_centre),
         endpoints_(directory_policy_of(settings, policy_)),
@@ -65,12 +65,12 @@
             [this] { return isolated_for(); },
             [this](const endpoint_identity& at) { view_.note_failure(at); },
             [this](const endpoint_identity& at) { view_.note_superseded(at); }},
-        clients_(
+        client_server_(
             loop_, [this] { return limits(); },
             [this](http1_request request, http1_exchange_ptr out) {
               serve_request(context_, std::move(request), std::move(out));
             }),
-        lifecycle_(loop_, clients_, settings.service.stop_limit,
+        lifecycle_(loop_, client_server_, settings.service.stop_limit,
                    policy_.retry_after),
         readiness_server_(
             loop_, [] { return http1_limits{}; },
@@ -85,10 +85,10 @@
 
   int run() {
     const bool listening =
-        clients_.listen(settings_.http_listen) &&
+        client_server_.listen(settings_.http_listen) &&
         readiness_server_.listen(settings_.ready_listen) &&
         metrics_server_.listen(settings_.service.metrics_listen) &&
-        peers_.listen(settings_.service.rpc_listen);
+        peer_server_.listen(settings_.service.rpc_listen);
     if (!listening) {
       log_error("listen_failed", {{"gateway", settings_.service.name}});
       return exit_listen;
@@ -115,7 +115,7 @@
 
  private:
   void observe_connections() {
-    clients_.on_refusal([this](int status) {
+    client_server_.on_refusal([this](int status) {
       metrics_.add("unreadable_requests_total",
                    {{"status", std::to_string(status)}});
       log_info("request_unreadable", {{"status", std::to_string(status)}});
@@ -126,12 +126,12 @@
   }
 
   void serve_peers() {
-    serve_relays(peers_, rpc_, records_);
+    serve_relays(peer_server_, rpc_, records_);
     if (policy_.relays) {
       records_.use_relays(view_.relays().source());
       permits_.use_relays(view_.relays().source());
     }
-    view_.serve(peers_);
+    view_.serve(peer_server_);
   }
 
   http1_limits limits() const {
@@ -168,7 +168,8 @@
       metrics_.set("cut_off", {}, was_isolated_ ? 1 : 0);
       log_warn(was_isolated_ ? "cut_off" : "cut_off_over",
                {{"ready", ready() ? "yes" : "no"}});
-      clients_.close_after_answers(was_isolated_ || lifecycle_.draining());
+      client_server_.close_after_answers(was_isolated_ ||
+                                         lifecycle_.draining());
     }
     if (was_isolated_) {
       view_.ask_sign_of_life([this] { records_.contact().heard(); });
@@ -188,7 +189,7 @@
   rpc_pool rpc_;
   http1_pool pool_;
   platform::object_store platform_;
-  rpc_server peers_;
+  rpc_server peer_server_;
   record_client records_;
   permit_client permits_;
   endpoint_directory endpoints_;
@@ -198,7 +199,7 @@
   program_sightings programs_;
   platform_view view_;
   gateway_context context_;
-  http1_server clients_;
+  http1_server client_server_;
   gateway_lifecycle lifecycle_;
   http1_server readiness_server_;
   http1_server metrics_server_;
--- a/src/gateway/request_flow.cc
+++ b/src/gateway/request_flow.cc
@@ -28,31 +28,31 @@
 
 void request_flow::start() {
   facts_ = platform::decode_request(request_);
-  std::optional<errc> refused =
+  std::optional<errc> error =
       routing_.resolve(context_.configuration(), request_, facts_);
   if (routing_.found_route() != nullptr && routing_.requires_key() &&
       !context_.configuration_proven()) {
     // With an outdated configuration, an unknown key may be new and a known
     // one revoked.
-    refused = errc::configuration_unproven;
+    error = errc::configuration_unproven;
   }
-  if (!refused) {
-    refused = routing_.apply_time_limits(facts_, context_.durations,
-                                         context_.time_to_shutdown());
+  if (!error) {
+    error = routing_.apply_time_limits(facts_, context_.durations,
+                                       context_.time_to_shutdown());
   }
-  if (refused) {
-    refuse(*refused);
+  if (error) {
+    reject(*error);
     return;
   }
   record_program();
-  if (resumable()) {
+  if (is_resumable()) {
     response_.make_resumable();
   }
   watch_deadline_and_client();
   needs_record_ = history_.begin(routing_.route(), routing_.workspace_name());
   const bool needs_stores = needs_record_ || needs_permit();
   if (needs_stores && context_.isolated_for() > milliseconds(0)) {
-    refuse(errc::cut_off);
+    reject(errc::cut_off);
   } else if (needs_permit()) {
     acquire_permit();
   } else {
@@ -88,7 +88,7 @@
           flow->on_deadline();
         }
       });
-  response_.out().on_gone(
+  response_.exchange().on_gone(
       [self = shared_from_this()] { self->on_client_disconnected(); });
 }
 
@@ -123,8 +123,8 @@
 
 void request_flow::fail(errc why) {
   settle_begun_events();
-  if (!response_.begun()) {
-    refuse(why);
+  if (!response_.has_begun()) {
+    reject(why);
     return;
   }
   log_info("answer_cut", {{"request", facts_.attempt},
@@ -133,9 +133,9 @@
   response_.abort();
 }
 
-void request_flow::refuse(errc why) {
+void request_flow::reject(errc why) {
   end(make_error_code(why).message(), http_status(why));
-  respond_error(response_.out(), why, retry_after(why));
+  respond_error(response_.exchange(), why, retry_after(why));
 }
 
 milliseconds request_flow::retry_after(errc why) const {
@@ -163,14 +163,14 @@
 }
 
 std::string request_flow::placed_by() const {
-  if (attempt_.to() == nullptr) {
+  if (attempt_.target() == nullptr) {
     return "";
   }
   const bool kept = previous_endpoint() == attempt_.identity();
   return kept ? "previous_turn" : "load";
 }
 
-void request_flow::report_routing(bool answered) {
+void request_flow::report_routing(bool responded) {
   if (routing_.configuration() != nullptr) {
     report_.configuration = routing_.configuration()->version;
   }
@@ -179,7 +179,7 @@
   }
   report_.route = routing_.route().name;
   report_.workspace = routing_.workspace_name();
-  if (answered) {
+  if (responded) {
     context_.durations.add(routing_.route().name, elapsed_ms());
   }
 }
--- a/src/gateway/request_flow_endpoint.cc
+++ b/src/gateway/request_flow_endpoint.cc
@@ -23,10 +23,10 @@
     on_deadline();
     return;
   }
-  if (const auto refused =
+  if (const auto error =
           routing_.check_key(context_.configuration().get(), facts_);
-      refused && !response_.begun()) {
-    give_up(*refused);
+      error && !response_.has_begun()) {
+    give_up(*error);
     return;
   }
   if (!attempt_.begin(context_.endpoints.choose(choice_criteria(),
@@ -55,7 +55,7 @@
   made.preferred = previous_endpoint();
   made.data_centre = context_.data_centre;
   made.excluded = &tried_;
-  made.once = routing_.once();
+  made.once = routing_.is_at_most_once();
   made.draw = XXH3_64bits_withSeed(facts_.attempt.data(), facts_.attempt.size(),
                                    tried_.size());
   made.connected = [this](const endpoint& each) {
@@ -87,7 +87,7 @@
 http1_request request_flow::forwarded_request() const {
   endpoint_directions options;
   options.time_left = time_left();
-  options.instance = attempt_.to()->identity.id;
+  options.instance = attempt_.target()->identity.id;
   options.resume_after = response_.last_event_id();
   options.workspace = routing_.workspace_name();
   options.urgency = urgency();
@@ -145,7 +145,8 @@
     abandon_endpoint();
     return;
   }
-  if (begun || (routing_.stream() && !context_.policy.reports_slow_streams)) {
+  if (begun ||
+      (routing_.is_stream() && !context_.policy.reports_slow_streams)) {
     return;
   }
   attempt_.mark_slow();
@@ -169,12 +170,12 @@
   return true;
 }
 
-bool request_flow::resumable() const {
-  return routing_.resumable() && context_.policy.resumes_streams;
+bool request_flow::is_resumable() const {
+  return routing_.is_resumable() && context_.policy.resumes_streams;
 }
 
 void request_flow::guard_event_gaps() {
-  if (resumable() && may_leave_late_endpoint(resend_state())) {
+  if (is_resumable() && may_leave_late_endpoint(resend_state())) {
     const route& from = routing_.route();
     arm_silence_timer(slow_detector().late_after(
         std::max(from.longest_pause, from.latency_objective)));
@@ -182,11 +183,11 @@
 }
 
 bool request_flow::passes_through() const {
-  return routing_.stream() && attempt_.succeeded() && !attempt_.invalid();
+  return routing_.is_stream() && attempt_.succeeded() && !attempt_.is_invalid();
 }
 
 void request_flow::on_body(std::string_view bytes) {
-  if (ended_ || attempt_.invalid() || attempt_.not_executed()) {
+  if (ended_ || attempt_.is_invalid() || attempt_.not_executed()) {
     return;
   }
   if (!passes_through()) {
@@ -255,10 +256,10 @@
 resend_view request_flow::resend_state() const {
   resend_view made;
   made.kind = routing_.route().kind;
-  made.resumable = resumable();
+  made.resumable = is_resumable();
   made.sends = static_cast<std::uint32_t>(report_.sends);
   made.most_sends = routing_.route().max_endpoints;
-  made.answer_begun = response_.begun();
+  made.answer_begun = response_.has_begun();
   made.has_last_event = response_.last_event_id().has_value();
   return made;
 }
@@ -294,7 +295,7 @@
     case resend::never:
       break;
   }
-  fail(attempt_.invalid() ? errc::answer_invalid : errc::runner_failed);
+  fail(attempt_.is_invalid() ? errc::answer_invalid : errc::runner_failed);
 }
 
 void request_flow::respond_to_client() {
@@ -303,15 +304,15 @@
     on_stream_complete();
     return;
   }
-  if (response_.begun()) {  // the resumed stream failed
+  if (response_.has_begun()) {  // the resumed stream failed
     fail(errc::runner_failed);
     return;
   }
   history_.settle(0);
   end("answered", attempt_.status());
-  response_.out().respond(attempt_.status(),
-                          platform::client_headers(attempt_.head()),
-                          attempt_.body());
+  response_.exchange().respond(attempt_.status(),
+                               platform::client_headers(attempt_.head()),
+                               attempt_.body());
 }
 
 void request_flow::on_stream_complete() {
--- a/src/gateway/request_flow_history.cc
+++ b/src/gateway/request_flow_history.cc
@@ -28,10 +28,10 @@
     history_.settle(0);
     return;
   }
-  const std::optional<errc> refused =
+  const std::optional<errc> error =
       history_.check_reservation(std::move(reserved));
-  if (refused) {
-    refuse(*refused);
+  if (error) {
+    reject(*error);
     return;
   }
   send_next();
--- a/src/gateway/request_flow_permit.cc
+++ b/src/gateway/request_flow_permit.cc
@@ -11,7 +11,7 @@
 }  // namespace
 
 bool request_flow::needs_permit() const {
-  return routing_.owner() != nullptr && routing_.owner()->limited();
+  return routing_.owner() != nullptr && routing_.owner()->is_limited();
 }
 
 permit_use request_flow::use_of_permit() const {
@@ -47,13 +47,13 @@
 void request_flow::on_permit(const limit_reached& reached) {
   if (!ended_) {
     limit_retry_after_ = return_time_at_limit(reached.next);
-    refuse(errc::workspace_limit);
+    reject(errc::workspace_limit);
   }
 }
 
 void request_flow::on_permit(const permit_unknown&) {
   if (!ended_) {
-    refuse(errc::workspace_limit_unknown);
+    reject(errc::workspace_limit_unknown);
   }
 }
 
--- a/src/gateway/request_flow_state.h
+++ b/src/gateway/request_flow_state.h
@@ -43,7 +43,7 @@
   // aborted, so that it doesn't look complete.
   void fail(errc why);
 
-  void refuse(errc why);
+  void reject(errc why);
   milliseconds retry_after(errc why) const;
   milliseconds elapsed_ms() const;
   std::uint64_t elapsed_us() const;
@@ -52,7 +52,7 @@
   std::string placed_by() const;
 
   // Rejected requests may have no route, or no configuration.
-  void report_routing(bool answered);
+  void report_routing(bool responded);
   void end(std::string_view outcome, int status);
 
   // ---- The permit (request_flow_permit.cc) --------------------------------
@@ -120,7 +120,7 @@
   void guard_event_gaps();
 
   // Whether the stream may be resumed at another endpoint.
-  bool resumable() const;
+  bool is_resumable() const;
 
   bool passes_through() const;
   void on_body(std::string_view bytes);
--- a/src/gateway/request_routing.cc
+++ b/src/gateway/request_routing.cc
@@ -56,7 +56,8 @@
     milliseconds time_to_shutdown) {
   time_limit_ = route_->timeout.count() > 0 ? route_->timeout : default_timeout;
   time_limit_ = std::min(time_limit_, facts.time_left.value_or(time_limit_));
-  const stops_midway midway = stream() ? stops_midway::yes : stops_midway::no;
+  const stops_midway midway =
+      is_stream() ? stops_midway::yes : stops_midway::no;
   if (durations.needed(route_->name, midway) > time_to_shutdown) {
     return errc::stopping;
   }
--- a/src/gateway/turn_history.cc
+++ b/src/gateway/turn_history.cc
@@ -69,11 +69,11 @@
   if (!has_budget()) {
     return std::nullopt;
   }
-  const std::optional<errc> refused = check_budget(reserved.value().usage);
-  if (refused) {
+  const std::optional<errc> error = check_budget(reserved.value().usage);
+  if (error) {
     settle(0);
   }
-  return refused;
+  return error;
 }
 
 std::optional<errc> turn_history::check_budget(
