--- a/include/trayrock/internal/gateway/configuration.h
+++ b/include/trayrock/internal/gateway/configuration.h
@@ -49,9 +49,9 @@
   std::chrono::seconds retention{0};
   // Streams are idempotent and may be resumed elsewhere after any event.
   bool resumable = false;
-  bool open_to_all = false;  // requires no key
+  bool is_public = false;  // requires no key
   // Objective for the time between events of a stream; 0: none.
-  std::chrono::milliseconds longest_pause{0};
+  std::chrono::milliseconds max_event_gap{0};
 };
 
 // Of the model engines of a service.
--- a/include/trayrock/internal/gateway/error_response.h
+++ b/include/trayrock/internal/gateway/error_response.h
@@ -12,7 +12,7 @@
 namespace trayrock {
 
 // Retry-After for an error; zero: none. Errors whose delay depends on the
-// gateway's state have theirs in decide/return_time.h.
+// gateway's state have theirs in decide/retry_after_delay.h.
 milliseconds default_retry_after(errc why);
 
 // Responds with the status of the code, and with Retry-After unless it is zero.
--- a/include/trayrock/internal/gateway/gateway_lifecycle.h
+++ b/include/trayrock/internal/gateway/gateway_lifecycle.h
@@ -17,7 +17,7 @@
 #include <cstdint>
 #include <functional>
 
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 #include "trayrock/internal/net/http1_server.h"
 #include "trayrock/internal/net/loop.h"
 #include "trayrock/internal/process.h"
@@ -29,7 +29,7 @@
   // `clients` outlives the object. The process ends within `stop_limit` of
   // begin_drain().
   gateway_lifecycle(event_loop& loop, http1_server& clients,
-                    milliseconds stop_limit, return_rule retry_after)
+                    milliseconds stop_limit, retry_after_policy retry_after)
       : loop_(loop),
         clients_(clients),
         stop_limit_(stop_limit),
@@ -68,7 +68,7 @@
   event_loop& loop_;
   http1_server& clients_;
   milliseconds stop_limit_;
-  return_rule retry_after_;
+  retry_after_policy retry_after_;
   std::function<bool()> ready_;
   timer start_timer_;
   timer accept_timer_;
--- a/include/trayrock/internal/gateway/request_facts.h
+++ b/include/trayrock/internal/gateway/request_metadata.h
@@ -2,7 +2,7 @@
 // adapter reads the headers and fills these in.
 //
 // Example:
-//   const request_facts facts = platform::decode_request(request);
+//   const request_metadata facts = platform::decode_request(request);
 //   if (facts.attempt.empty()) reject();
 #pragma once
 
@@ -20,7 +20,7 @@
   std::uint64_t tokens = 0;
 };
 
-struct request_facts {
+struct request_metadata {
   std::string attempt;  // id that the client gave to this attempt
   std::optional<std::chrono::milliseconds> time_left;  // the client's deadline
   std::string program;  // empty for requests outside of programs
@@ -28,14 +28,14 @@
   std::optional<std::chrono::milliseconds> program_time_left;
   std::optional<std::uint64_t> token_budget;  // of the whole program
   std::uint64_t prompt_tokens = 0;
-  std::uint64_t most_output_tokens = 0;
+  std::uint64_t max_output_tokens = 0;
   std::vector<prompt_part> prompt;  // in order
   std::string previous_turn;        // attempt that this turn continues
   std::string object;               // what the request is about, for locality
   std::string key;  // API key; empty if the request has none, or several
 };
 
-struct answer_facts {
+struct response_metadata {
   std::string attempt;          // of the request; may be empty
   bool sealed = false;          // carries the endpoint's authentication code
   bool not_executed = false;    // the endpoint did not run the request
@@ -44,14 +44,14 @@
 };
 
 // How the gateway forwards a request to an endpoint.
-struct endpoint_directions {
+struct forwarding_options {
   std::chrono::milliseconds time_left{0};
   std::string instance;        // the endpoint instance that is addressed
   std::optional<int> urgency;  // 0 (first) to 9
   std::string workspace;       // of the request; empty: none
   // Removes the Authorization header. Where no key is required, the header
   // belongs to the client and is passed on.
-  bool hides_key = false;
+  bool strips_key = false;
   // Resumes a stream after this event; nothing: as the client requested.
   std::optional<std::uint64_t> resume_after;
 };
--- a/include/trayrock/internal/gateway/request_routing.h
+++ b/include/trayrock/internal/gateway/request_routing.h
@@ -19,9 +19,9 @@
 #include <string_view>
 
 #include "trayrock/errors.h"
-#include "trayrock/internal/decide/duration_book.h"
+#include "trayrock/internal/decide/duration_estimator.h"
 #include "trayrock/internal/gateway/configuration.h"
-#include "trayrock/internal/gateway/request_facts.h"
+#include "trayrock/internal/gateway/request_metadata.h"
 #include "trayrock/internal/net/http1_server.h"
 #include "trayrock/internal/net/loop.h"
 
@@ -34,18 +34,18 @@
   // errc::unknown_key; what was found before the error is kept for the report.
   std::optional<errc> resolve(configuration_ptr configuration,
                               const http1_request& request,
-                              const request_facts& facts);
+                              const request_metadata& facts);
 
   // Checks that the key still belongs to the same workspace in a newer
   // configuration. Errors: errc::unknown_key.
   std::optional<errc> check_key(const trayrock::configuration* now,
-                                const request_facts& facts) const;
+                                const request_metadata& facts) const;
 
   // Sets the time limit: the least of the client's deadline, the route's
   // timeout and the time until the process stops. Requires a route. Errors:
   // errc::stopping.
-  std::optional<errc> apply_time_limits(const request_facts& facts,
-                                        const duration_book& durations,
+  std::optional<errc> apply_time_limits(const request_metadata& facts,
+                                        const duration_estimator& durations,
                                         milliseconds time_to_shutdown);
 
   // nullptr until resolved.
@@ -63,7 +63,7 @@
   bool is_resumable() const { return is_stream() && route_->resumable; }
 
   bool requires_key() const {
-    return configuration_->workspaces.has_value() && !route_->open_to_all;
+    return configuration_->workspaces.has_value() && !route_->is_public;
   }
 
   // nullptr where no key is required.
--- a/src/gateway/gateway_lifecycle.cc
+++ b/src/gateway/gateway_lifecycle.cc
@@ -51,7 +51,7 @@
   drain_view view;
   view.draining_for = milliseconds(loop_.now_ms() - drain_began_ms_);
   view.since_last_connection = clients_.since_last_connection();
-  return return_time(view, retry_after_);
+  return retry_after_delay(view, retry_after_);
 }
 
 void gateway_lifecycle::begin_drain() {
--- a/src/gateway/gateway_main.cc
+++ b/src/gateway/gateway_main.cc
@@ -35,7 +35,7 @@
         rpc_(loop_, {}),
         pool_(loop_),
         platform_(loop_, settings.service.platform, metrics_,
-                  probe_pace_within(reconnect_ms(settings))),
+                  probe_schedule_within(reconnect_ms(settings))),
         peer_server_(loop_, {}),
         records_(loop_, rpc_, settings.service.data_centre, metrics_),
         permits_(loop_, rpc_, records_, metrics_, settings.service.data_centre),
@@ -44,27 +44,30 @@
         durations_(policy_.durations),
         view_(loop_, rpc_, platform_, settings, policy_,
               {endpoints_, records_, metrics_}),
-        context_{
-            loop_,
-            pool_,
-            records_,
-            permits_,
-            endpoints_,
-            chains_,
-            metrics_,
-            durations_,
-            slow_detectors_,
-            programs_,
-            settings.service.data_centre,
-            policy_,
-            [this] { return view_.configuration(); },
-            [this] { return view_.is_configuration_proven(); },
-            [this] { return view_.endpoints_age_ms(); },
-            [this] { return lifecycle_.time_to_shutdown(); },
-            [this] { return lifecycle_.retry_after_draining(); },
-            [this] { return isolated_for(); },
-            [this](const endpoint_identity& at) { view_.note_failure(at); },
-            [this](const endpoint_identity& at) { view_.note_superseded(at); }},
+        context_{loop_,
+                 pool_,
+                 records_,
+                 permits_,
+                 endpoints_,
+                 chains_,
+                 metrics_,
+                 durations_,
+                 slow_detectors_,
+                 programs_,
+                 settings.service.data_centre,
+                 policy_,
+                 [this] { return view_.configuration(); },
+                 [this] { return view_.is_configuration_proven(); },
+                 [this] { return view_.endpoints_age_ms(); },
+                 [this] { return lifecycle_.time_to_shutdown(); },
+                 [this] { return lifecycle_.retry_after_draining(); },
+                 [this] { return isolated_for(); },
+                 [this](const endpoint_identity& at) {
+                   view_.record_peer_failure(at);
+                 },
+                 [this](const endpoint_identity& at) {
+                   view_.report_superseded(at);
+                 }},
         client_server_(
             loop_, [this] { return limits(); },
             [this](http1_request request, http1_exchange_ptr out) {
@@ -106,7 +109,7 @@
       log_info("reload", {{"outcome", "no setting can change while running"}});
     });
     const timer contact =
-        loop_.every(milliseconds(contact_rule::tick_period_ms),
+        loop_.every(milliseconds(isolation_detector::tick_period_ms),
                     [this] { update_isolation(); });
     loop_.run();
     log_info("gateway_stopped", {{"gateway", settings_.service.name}});
@@ -149,11 +152,11 @@
   bool ready() {
     return !lifecycle_.draining() && view_.configuration() != nullptr &&
            endpoints_.size() > 0 && records_.has_group() &&
-           !records_.contact().cut_off();
+           !records_.contact().is_isolated();
   }
 
   milliseconds isolated_for() {
-    const std::uint64_t since = records_.contact().cut_off_since_ms();
+    const std::uint64_t since = records_.contact().isolated_since_ms();
     return milliseconds(since == 0 ? 0 : loop_.now_ms() - since);
   }
 
@@ -161,10 +164,10 @@
   // closes keep-alive connections, so that clients move to another gateway, and
   // polls its peers, since no request would notice the end of the isolation.
   void update_isolation() {
-    contact_rule& contact = records_.contact();
+    isolation_detector& contact = records_.contact();
     contact.tick(loop_.now_ms());
-    if (contact.cut_off() != was_isolated_) {
-      was_isolated_ = contact.cut_off();
+    if (contact.is_isolated() != was_isolated_) {
+      was_isolated_ = contact.is_isolated();
       metrics_.set("cut_off", {}, was_isolated_ ? 1 : 0);
       log_warn(was_isolated_ ? "cut_off" : "cut_off_over",
                {{"ready", ready() ? "yes" : "no"}});
@@ -172,7 +175,7 @@
                                          lifecycle_.draining());
     }
     if (was_isolated_) {
-      view_.ask_sign_of_life([this] { records_.contact().heard(); });
+      view_.probe_peer([this] { records_.contact().on_reply(); });
     }
   }
 
@@ -194,9 +197,9 @@
   permit_client permits_;
   endpoint_directory endpoints_;
   chain_cache chains_;
-  duration_book durations_;
-  std::map<std::string, late_rule, std::less<>> slow_detectors_;
-  program_sightings programs_;
+  duration_estimator durations_;
+  std::map<std::string, slow_endpoint_detector, std::less<>> slow_detectors_;
+  recent_programs programs_;
   platform_view view_;
   gateway_context context_;
   http1_server client_server_;
--- a/src/gateway/request_flow.cc
+++ b/src/gateway/request_flow.cc
@@ -4,7 +4,7 @@
 
 #include "platform/messages.h"
 #include "request_flow_state.h"
-#include "trayrock/internal/decide/return_time.h"
+#include "trayrock/internal/decide/retry_after.h"
 #include "trayrock/internal/gateway/error_response.h"
 #include "trayrock/internal/log.h"
 
@@ -67,8 +67,8 @@
   }
   const std::uint64_t now = context_.loop.now_ms();
   continues_program_ = !facts_.previous_turn.empty() ||
-                       context_.programs.knows(facts_.program, now);
-  context_.programs.note(facts_.program, now);
+                       context_.programs.contains(facts_.program, now);
+  context_.programs.record(facts_.program, now);
 }
 
 void request_flow::reserve_or_send() {
@@ -143,9 +143,9 @@
     case errc::stopping:
       return context_.retry_after_draining();
     case errc::cut_off:
-      return return_time_when_cut_off(context_.isolated_for());
+      return retry_after_when_isolated(context_.isolated_for());
     case errc::configuration_unproven:
-      return return_time_when_unproven();
+      return retry_after_when_config_stale();
     case errc::workspace_limit:
       return limit_retry_after_;
     default:
@@ -195,7 +195,7 @@
   report_.endpoints_age_ms = context_.endpoints_age_ms();
   report_.epoch = context_.records.group().epoch();
   report_.total_us = elapsed_us();
-  report_.events = response_.events().whole_events();
+  report_.events = response_.events().complete_events();
   report_.status = status;
   report_.outcome = outcome;
   report_request(context_.metrics, facts_, report_);
--- a/src/gateway/request_flow_endpoint.cc
+++ b/src/gateway/request_flow_endpoint.cc
@@ -44,18 +44,18 @@
   if (!tried_.empty()) {
     return errc::endpoints_full;
   }
-  const bool cold = context_.endpoints.are_held_back_when_cold(
+  const bool cold = context_.endpoints.is_limited_by_cold_start(
       routing_.service(), context_.loop.now_ms());
   return cold ? errc::endpoints_cold : errc::no_runner;
 }
 
-endpoint_choice request_flow::choice_criteria() const {
-  endpoint_choice made;
+endpoint_criteria request_flow::choice_criteria() const {
+  endpoint_criteria made;
   made.service = routing_.service();
   made.preferred = previous_endpoint();
   made.data_centre = context_.data_centre;
   made.excluded = &tried_;
-  made.once = routing_.is_at_most_once();
+  made.at_most_once = routing_.is_at_most_once();
   made.draw = XXH3_64bits_withSeed(facts_.attempt.data(), facts_.attempt.size(),
                                    tried_.size());
   made.connected = [this](const endpoint& each) {
@@ -73,7 +73,7 @@
   if (facts_.program_time_left) {
     turn.program_time_left = *facts_.program_time_left - elapsed_ms();
   }
-  turn.goes_on = continues_program_;
+  turn.program_in_progress = continues_program_;
   turn.rank = routing_.route().rank;
   return urgency_of(turn);
 }
@@ -85,13 +85,13 @@
 }
 
 http1_request request_flow::forwarded_request() const {
-  endpoint_directions options;
+  forwarding_options options;
   options.time_left = time_left();
   options.instance = attempt_.target()->identity.id;
   options.resume_after = response_.last_event_id();
   options.workspace = routing_.workspace_name();
   options.urgency = urgency();
-  options.hides_key = routing_.configuration()->workspaces.has_value();
+  options.strips_key = routing_.configuration()->workspaces.has_value();
   http1_request made = platform::endpoint_request(request_, options);
   if (history_.chain() != nullptr) {
     made.body = history_.chain()->text + request_.body;
@@ -112,10 +112,10 @@
 
 void request_flow::guard_response_start() {
   arm_silence_timer(
-      slow_detector().late_after(routing_.route().latency_objective));
+      slow_detector().first_byte_timeout(routing_.route().latency_objective));
 }
 
-late_rule& request_flow::slow_detector() {
+slow_endpoint_detector& request_flow::slow_detector() {
   return context_.slow_detectors
       .try_emplace(std::string(routing_.service()),
                    context_.policy.slow_endpoints)
@@ -138,9 +138,10 @@
 void request_flow::on_endpoint_slow() {
   const bool begun = attempt_.status() != 0;
   if (!begun) {
-    slow_detector().answer_began(attempt_.age());
+    slow_detector().record_first_byte(attempt_.age());
   }
-  if (may_leave_late_endpoint(resend_state()) && slow_detector().leave()) {
+  if (may_abandon_slow_endpoint(resend_state()) &&
+      slow_detector().acquire_resend()) {
     context_.metrics.add("late_endpoints_left_total");
     abandon_endpoint();
     return;
@@ -154,7 +155,7 @@
 }
 
 bool request_flow::on_head(const http1_answer_head& head) {
-  answer_facts response = platform::decode_answer(head);
+  response_metadata response = platform::decode_answer(head);
   if (!response.attempt.empty() && response.attempt != facts_.attempt) {
     context_.metrics.add("surplus_answers_total");
     log_warn("surplus_answer", {{"request", facts_.attempt},
@@ -163,7 +164,7 @@
     return false;
   }
   silence_timer_.cancel();
-  slow_detector().answer_began(attempt_.age());
+  slow_detector().record_first_byte(attempt_.age());
   attempt_.accept_head(head, std::move(response));
   report_.head_us = elapsed_us();
   guard_event_gaps();
@@ -175,10 +176,10 @@
 }
 
 void request_flow::guard_event_gaps() {
-  if (is_resumable() && may_leave_late_endpoint(resend_state())) {
+  if (is_resumable() && may_abandon_slow_endpoint(resend_state())) {
     const route& from = routing_.route();
-    arm_silence_timer(slow_detector().late_after(
-        std::max(from.longest_pause, from.latency_objective)));
+    arm_silence_timer(slow_detector().first_byte_timeout(
+        std::max(from.max_event_gap, from.latency_objective)));
   }
 }
 
@@ -221,7 +222,7 @@
   const attempt_outcome outcome = attempt_.outcome_of(how);
   attempt_.end(outcome);
   switch (outcome) {
-    case attempt_outcome::answered:
+    case attempt_outcome::responded:
       ++report_.sends;
       respond_to_client();
       return;
@@ -258,8 +259,8 @@
   made.kind = routing_.route().kind;
   made.resumable = is_resumable();
   made.sends = static_cast<std::uint32_t>(report_.sends);
-  made.most_sends = routing_.route().max_endpoints;
-  made.answer_begun = response_.has_begun();
+  made.max_sends = routing_.route().max_endpoints;
+  made.response_started = response_.has_begun();
   made.has_last_event = response_.last_event_id().has_value();
   return made;
 }
--- a/src/gateway/request_flow_history.cc
+++ b/src/gateway/request_flow_history.cc
@@ -46,7 +46,8 @@
   finished_turn turn;
   turn.input = request_.body;
   turn.output = response_.events().data();
-  turn.tokens = response_.events().whole_events() * routing_.tokens_per_event();
+  turn.tokens =
+      response_.events().complete_events() * routing_.tokens_per_event();
   turn.endpoint = attempt_.identity().text();
   const std::uint64_t began = elapsed_us();
   history_.store(std::move(turn), store_timeout,
--- a/src/gateway/request_flow_permit.cc
+++ b/src/gateway/request_flow_permit.cc
@@ -17,7 +17,7 @@
 permit_use request_flow::use_of_permit() const {
   const bool starts = routing_.route().keeps_history &&
                       !facts_.program.empty() && facts_.previous_turn.empty();
-  return starts ? permit_use::starts_program : permit_use::goes_on;
+  return starts ? permit_use::starts_program : permit_use::regular;
 }
 
 void request_flow::acquire_permit() {
@@ -46,7 +46,7 @@
 
 void request_flow::on_permit(const limit_reached& reached) {
   if (!ended_) {
-    limit_retry_after_ = return_time_at_limit(reached.next);
+    limit_retry_after_ = retry_after_at_limit(reached.next);
     reject(errc::workspace_limit);
   }
 }
--- a/src/gateway/request_flow_state.h
+++ b/src/gateway/request_flow_state.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "trayrock/internal/decide/resend_rule.h"
+#include "trayrock/internal/decide/resend_policy.h"
 #include "trayrock/internal/gateway/client_response.h"
 #include "trayrock/internal/gateway/endpoint_attempt.h"
 #include "trayrock/internal/gateway/request_flow.h"
@@ -102,7 +102,7 @@
   // objective, unless all endpoints of the service take longer.
   void guard_response_start();
 
-  late_rule& slow_detector();  // of the request's service
+  slow_endpoint_detector& slow_detector();  // of the request's service
 
   // Calls on_endpoint_slow() when nothing is received for this long; zero
   // disables the timer.
@@ -141,7 +141,7 @@
   gateway_context context_;
   http1_request request_;
   client_response response_;
-  request_facts facts_;
+  request_metadata facts_;
   request_routing routing_;
   turn_history history_;
   std::set<endpoint_identity> tried_;
--- a/src/gateway/request_routing.cc
+++ b/src/gateway/request_routing.cc
@@ -9,7 +9,7 @@
 constexpr milliseconds default_timeout{10000};
 
 // Requests with the same key go to the same service.
-std::string_view placement_key(const request_facts& facts) {
+std::string_view placement_key(const request_metadata& facts) {
   return facts.program.empty() ? std::string_view(facts.attempt)
                                : std::string_view(facts.program);
 }
@@ -18,7 +18,7 @@
 
 std::optional<errc> request_routing::resolve(configuration_ptr configuration,
                                              const http1_request& request,
-                                             const request_facts& facts) {
+                                             const request_metadata& facts) {
   configuration_ = std::move(configuration);
   if (configuration_ == nullptr) {
     return errc::not_configured;
@@ -42,7 +42,7 @@
 }
 
 std::optional<errc> request_routing::check_key(
-    const trayrock::configuration* now, const request_facts& facts) const {
+    const trayrock::configuration* now, const request_metadata& facts) const {
   if (owner_ == nullptr || now == configuration_.get() || !now->workspaces) {
     return std::nullopt;
   }
@@ -52,12 +52,12 @@
 }
 
 std::optional<errc> request_routing::apply_time_limits(
-    const request_facts& facts, const duration_book& durations,
+    const request_metadata& facts, const duration_estimator& durations,
     milliseconds time_to_shutdown) {
   time_limit_ = route_->timeout.count() > 0 ? route_->timeout : default_timeout;
   time_limit_ = std::min(time_limit_, facts.time_left.value_or(time_limit_));
-  const stops_midway midway =
-      is_stream() ? stops_midway::yes : stops_midway::no;
+  const partial_delivery midway =
+      is_stream() ? partial_delivery::yes : partial_delivery::no;
   if (durations.needed(route_->name, midway) > time_to_shutdown) {
     return errc::stopping;
   }
--- a/src/gateway/turn_history.cc
+++ b/src/gateway/turn_history.cc
@@ -45,7 +45,7 @@
   if (reserved_) {
     reservation.set_program(program_);
     reservation.set_attempt(attempt_);
-    reservation.set_tokens(facts_.most_output_tokens);
+    reservation.set_tokens(facts_.max_output_tokens);
   }
   records_.reserve(reservation, requested_chain_, timeout, std::move(done));
 }
@@ -79,7 +79,7 @@
 std::optional<errc> turn_history::check_budget(
     const program_usage& usage) const {
   const budget_verdict verdict =
-      usage.decide(bytes_of(id_of(attempt_)), facts_.most_output_tokens,
+      usage.decide(bytes_of(id_of(attempt_)), facts_.max_output_tokens,
                    *facts_.token_budget);
   if (verdict == budget_verdict::fits) {
     return std::nullopt;
@@ -88,7 +88,7 @@
            {{"request", facts_.attempt},
             {"program", facts_.program},
             {"budget", std::to_string(*facts_.token_budget)},
-            {"most", std::to_string(facts_.most_output_tokens)},
+            {"most", std::to_string(facts_.max_output_tokens)},
             {"used", std::to_string(usage.used())},
             {"open", std::to_string(usage.open())}});
   return verdict == budget_verdict::spent ? errc::tokens_spent
--- a/test/kept_connection.h
+++ b/test/persistent_connection.h
@@ -1,7 +1,7 @@
 // A client's persistent (keep-alive) connection to a port on loopback.
 //
 // Example:
-//   kept_connection to_gateway(port);
+//   persistent_connection to_gateway(port);
 //   const std::string response = to_gateway.exchange(request, 10);
 #pragma once
 
@@ -9,12 +9,12 @@
 
 namespace trayrock::testing {
 
-class kept_connection {
+class persistent_connection {
  public:
-  explicit kept_connection(int port) : port_(port) {}
-  kept_connection(const kept_connection&) = delete;
-  kept_connection& operator=(const kept_connection&) = delete;
-  ~kept_connection() { close(); }
+  explicit persistent_connection(int port) : port_(port) {}
+  persistent_connection(const persistent_connection&) = delete;
+  persistent_connection& operator=(const persistent_connection&) = delete;
+  ~persistent_connection() { close(); }
 
   // Sends a request once and returns the raw response: what was received before
   // the connection ended or the timeout. Reconnects first if the server has
