--- a/src/gateway/gateway_main.cc
+++ b/src/gateway/gateway_main.cc
@@ -44,30 +44,29 @@
         durations_(policy_.durations),
         view_(loop_, rpc_, platform_, settings, policy_,
               {endpoints_, records_, metrics_}),
-        context_{loop_,
-                 pool_,
-                 records_,
-                 permits_,
-                 endpoints_,
-                 chains_,
-                 metrics_,
-                 durations_,
-                 slow_detectors_,
-                 programs_,
-                 settings.service.data_centre,
-                 policy_,
-                 [this] { return view_.configuration(); },
-                 [this] { return view_.is_configuration_proven(); },
-                 [this] { return view_.endpoints_age_ms(); },
-                 [this] { return lifecycle_.time_to_shutdown(); },
-                 [this] { return lifecycle_.retry_after_draining(); },
-                 [this] { return isolated_for(); },
-                 [this](const endpoint_identity& at) {
-                   view_.record_peer_failure(at);
-                 },
-                 [this](const endpoint_identity& at) {
-                   view_.report_superseded(at);
-                 }},
+        context_{
+            loop_,
+            pool_,
+            records_,
+            permits_,
+            endpoints_,
+            chains_,
+            metrics_,
+            durations_,
+            slow_detectors_,
+            programs_,
+            settings.service.data_centre,
+            policy_,
+            [this] { return view_.configuration(); },
+            [this] { return view_.is_configuration_proven(); },
+            [this] { return view_.endpoints_age_ms(); },
+            [this] { return lifecycle_.time_to_shutdown(); },
+            [this] { return lifecycle_.retry_after_draining(); },
+            [this] { return isolated_for(); },
+            [this](const endpoint_identity& at) { view_.report_failure(at); },
+            [this](const endpoint_identity& at) {
+              view_.report_superseded(at);
+            }},
         client_server_(
             loop_, [this] { return limits(); },
             [this](http1_request request, http1_exchange_ptr out) {
--- a/src/gateway/request_flow_state.h
+++ b/src/gateway/request_flow_state.h
@@ -87,7 +87,7 @@
 
   void send_next();
 
-  endpoint_choice choice_criteria() const;
+  endpoint_criteria choice_criteria() const;
   errc no_endpoint_error() const;
   std::optional<int> urgency() const;
   void record_program();
@@ -141,7 +141,7 @@
   gateway_context context_;
   http1_request request_;
   client_response response_;
-  request_metadata facts_;
+  request_metadata metadata_;
   request_routing routing_;
   turn_history history_;
   std::set<endpoint_identity> tried_;
