--- a/include/trayrock/internal/gateway/endpoint_attempt.h
+++ b/include/trayrock/internal/gateway/endpoint_attempt.h
@@ -6,7 +6,7 @@
 // to the endpoint are closed.
 //
 // Example:
-//   endpoint_attempt attempt(loop, pool, facts);
+//   endpoint_attempt attempt(loop, pool, metadata);
 //   if (attempt.begin(endpoints.choose(wanted, now))) {
 //     attempt.send(request, observer);
 //   }
@@ -30,10 +30,11 @@
  public:
   // All outlive the object.
   endpoint_attempt(event_loop& loop, http1_pool& pool,
-                   const request_metadata& facts, bool drops_connections = true)
+                   const request_metadata& metadata,
+                   bool drops_connections = true)
       : loop_(loop),
         pool_(pool),
-        facts_(facts),
+        metadata_(metadata),
         drops_connections_(drops_connections) {}
   endpoint_attempt(const endpoint_attempt&) = delete;
   endpoint_attempt& operator=(const endpoint_attempt&) = delete;
@@ -89,7 +90,7 @@
 
   event_loop& loop_;
   http1_pool& pool_;
-  const request_metadata& facts_;
+  const request_metadata& metadata_;
   bool drops_connections_;  // idle ones, after one failed
   endpoint_state_ptr endpoint_;
   http1_call call_;
--- a/include/trayrock/internal/gateway/request_metadata.h
+++ b/include/trayrock/internal/gateway/request_metadata.h
@@ -2,8 +2,8 @@
 // adapter reads the headers and fills these in.
 //
 // Example:
-//   const request_metadata facts = platform::decode_request(request);
-//   if (facts.attempt.empty()) reject();
+//   const request_metadata metadata = platform::decode_request(request);
+//   if (metadata.attempt.empty()) reject();
 #pragma once
 
 #include <chrono>
--- a/include/trayrock/internal/gateway/request_report.h
+++ b/include/trayrock/internal/gateway/request_report.h
@@ -4,7 +4,7 @@
 //   request_report made;
 //   made.route = "chat";
 //   made.outcome = "answered";
-//   report_request(metrics, facts, made);  // logs "request_done"
+//   report_request(metrics, metadata, made);  // logs "request_done"
 #pragma once
 
 #include <cstdint>
@@ -35,7 +35,7 @@
   std::string outcome;
 };
 
-void report_request(metrics_registry& metrics, const request_metadata& facts,
+void report_request(metrics_registry& metrics, const request_metadata& metadata,
                     const request_report& ended);
 
 }  // namespace trayrock
--- a/include/trayrock/internal/gateway/turn_history.h
+++ b/include/trayrock/internal/gateway/turn_history.h
@@ -7,8 +7,8 @@
 // budget that does nothing.
 //
 // Example:
-//   turn_history history(loop, records, chains, facts);
-//   if (history.begin(route)) {
+//   turn_history history(loop, records, chains, metadata);
+//   if (history.begin(route, workspace)) {
 //     history.reserve(timeout, [&](result<reserved_turn> reserved) {
 //       const std::optional<errc> error =
 //           history.check_reservation(std::move(reserved));
@@ -47,8 +47,8 @@
   // All parameters outlive the object. Callbacks that are passed in later must
   // keep the object alive.
   turn_history(event_loop& loop, record_client& records, chain_cache& chains,
-               const request_metadata& facts)
-      : loop_(loop), records_(records), chains_(chains), facts_(facts) {}
+               const request_metadata& metadata)
+      : loop_(loop), records_(records), chains_(chains), metadata_(metadata) {}
   turn_history(const turn_history&) = delete;
   turn_history& operator=(const turn_history&) = delete;
 
@@ -88,7 +88,7 @@
   event_loop& loop_;
   record_client& records_;
   chain_cache& chains_;
-  const request_metadata& facts_;
+  const request_metadata& metadata_;
   std::chrono::seconds retention_{0};
   // Names in the record stores, see record_name().
   std::string attempt_;
--- a/src/gateway/endpoint_attempt.cc
+++ b/src/gateway/endpoint_attempt.cc
@@ -94,7 +94,7 @@
 }
 
 void endpoint_attempt::mark_slow() {
-  log_info("endpoint_late", {{"request", facts_.attempt},
+  log_info("endpoint_late", {{"request", metadata_.attempt},
                              {"endpoint", endpoint_->record.identity.id}});
   if (endpoint_->health.record_failure(loop_.now_ms())) {
     log_avoided();
@@ -140,7 +140,7 @@
 
 void endpoint_attempt::log_failed(attempt_outcome outcome, double ms) const {
   log_info("attempt_failed",
-           {{"request", facts_.attempt},
+           {{"request", metadata_.attempt},
             {"endpoint", endpoint_->record.identity.id},
             {"outcome", std::string(text_of(outcome))},
             {"status", std::to_string(head_.status)},
--- a/src/gateway/request_flow.cc
+++ b/src/gateway/request_flow.cc
@@ -21,15 +21,15 @@
     : context_(context),
       request_(std::move(request)),
       response_(std::move(out)),
-      history_(context.loop, context.records, context.chains, facts_),
-      attempt_(context.loop, context.pool, facts_,
+      history_(context.loop, context.records, context.chains, metadata_),
+      attempt_(context.loop, context.pool, metadata_,
                context.policy.drops_connections),
       began_us_(context.loop.now_us()) {}
 
 void request_flow::start() {
-  facts_ = platform::decode_request(request_);
+  metadata_ = platform::decode_request(request_);
   std::optional<errc> error =
-      routing_.resolve(context_.configuration(), request_, facts_);
+      routing_.resolve(context_.configuration(), request_, metadata_);
   if (routing_.found_route() != nullptr && routing_.requires_key() &&
       !context_.configuration_proven()) {
     // With an outdated configuration, an unknown key may be new and a known
@@ -37,7 +37,7 @@
     error = errc::configuration_unproven;
   }
   if (!error) {
-    error = routing_.apply_time_limits(facts_, context_.durations,
+    error = routing_.apply_time_limits(metadata_, context_.durations,
                                        context_.time_to_shutdown());
   }
   if (error) {
@@ -62,13 +62,13 @@
 
 // Tool calls belong to a program but are no turns of it.
 void request_flow::record_program() {
-  if (!routing_.targets_engine() || facts_.program.empty()) {
+  if (!routing_.targets_engine() || metadata_.program.empty()) {
     return;
   }
   const std::uint64_t now = context_.loop.now_ms();
-  continues_program_ = !facts_.previous_turn.empty() ||
-                       context_.programs.contains(facts_.program, now);
-  context_.programs.record(facts_.program, now);
+  continues_program_ = !metadata_.previous_turn.empty() ||
+                       context_.programs.contains(metadata_.program, now);
+  context_.programs.record(metadata_.program, now);
 }
 
 void request_flow::reserve_or_send() {
@@ -127,7 +127,7 @@
     reject(why);
     return;
   }
-  log_info("answer_cut", {{"request", facts_.attempt},
+  log_info("answer_cut", {{"request", metadata_.attempt},
                           {"cause", make_error_code(why).message()}});
   end("answer_cut", attempt_.status());
   response_.abort();
@@ -198,7 +198,7 @@
   report_.events = response_.events().complete_events();
   report_.status = status;
   report_.outcome = outcome;
-  report_request(context_.metrics, facts_, report_);
+  report_request(context_.metrics, metadata_, report_);
 }
 
 }  // namespace trayrock::internal
--- a/src/gateway/request_flow_endpoint.cc
+++ b/src/gateway/request_flow_endpoint.cc
@@ -24,7 +24,7 @@
     return;
   }
   if (const auto error =
-          routing_.check_key(context_.configuration().get(), facts_);
+          routing_.check_key(context_.configuration().get(), metadata_);
       error && !response_.has_begun()) {
     give_up(*error);
     return;
@@ -56,8 +56,8 @@
   made.data_centre = context_.data_centre;
   made.excluded = &tried_;
   made.at_most_once = routing_.is_at_most_once();
-  made.draw = XXH3_64bits_withSeed(facts_.attempt.data(), facts_.attempt.size(),
-                                   tried_.size());
+  made.draw = XXH3_64bits_withSeed(metadata_.attempt.data(),
+                                   metadata_.attempt.size(), tried_.size());
   made.connected = [this](const endpoint& each) {
     return context_.pool.has_idle(each.address, each.identity.text());
   };
@@ -70,8 +70,8 @@
     return std::nullopt;
   }
   turn_view turn;
-  if (facts_.program_time_left) {
-    turn.program_time_left = *facts_.program_time_left - elapsed_ms();
+  if (metadata_.program_time_left) {
+    turn.program_time_left = *metadata_.program_time_left - elapsed_ms();
   }
   turn.program_in_progress = continues_program_;
   turn.rank = routing_.route().rank;
@@ -156,9 +156,9 @@
 
 bool request_flow::on_head(const http1_answer_head& head) {
   response_metadata response = platform::decode_answer(head);
-  if (!response.attempt.empty() && response.attempt != facts_.attempt) {
+  if (!response.attempt.empty() && response.attempt != metadata_.attempt) {
     context_.metrics.add("surplus_answers_total");
-    log_warn("surplus_answer", {{"request", facts_.attempt},
+    log_warn("surplus_answer", {{"request", metadata_.attempt},
                                 {"belongs_to", response.attempt},
                                 {"endpoint", attempt_.endpoint_id()}});
     return false;
@@ -197,7 +197,7 @@
   }
   begin_response();
   if (!response_.pass(bytes)) {
-    log_warn("stream_repeated", {{"request", facts_.attempt},
+    log_warn("stream_repeated", {{"request", metadata_.attempt},
                                  {"endpoint", attempt_.endpoint_id()}});
     abandon_endpoint();
     return;
--- a/src/gateway/request_flow_permit.cc
+++ b/src/gateway/request_flow_permit.cc
@@ -16,7 +16,8 @@
 
 permit_use request_flow::use_of_permit() const {
   const bool starts = routing_.route().keeps_history &&
-                      !facts_.program.empty() && facts_.previous_turn.empty();
+                      !metadata_.program.empty() &&
+                      metadata_.previous_turn.empty();
   return starts ? permit_use::starts_program : permit_use::regular;
 }
 
--- a/src/gateway/request_report.cc
+++ b/src/gateway/request_report.cc
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-void report_request(metrics_registry& metrics, const request_metadata& facts,
+void report_request(metrics_registry& metrics, const request_metadata& metadata,
                     const request_report& ended) {
   metrics.add("requests_total",
               {{"route", ended.route}, {"outcome", ended.outcome}});
   metrics.observe("request_ms", {{"route", ended.route}},
                   static_cast<double>(ended.total_us) / us_per_ms);
   log_info("request_done",
-           {{"request", facts.attempt},
-            {"program", facts.program},
-            {"previous", facts.previous_turn},
+           {{"request", metadata.attempt},
+            {"program", metadata.program},
+            {"previous", metadata.previous_turn},
             {"route", ended.route},
             {"workspace", ended.workspace},
             {"config", std::to_string(ended.configuration)},
--- a/src/gateway/turn_history.cc
+++ b/src/gateway/turn_history.cc
@@ -22,13 +22,13 @@
 }  // namespace
 
 bool turn_history::has_budget() const {
-  return facts_.token_budget.has_value() && !facts_.program.empty();
+  return metadata_.token_budget.has_value() && !metadata_.program.empty();
 }
 
 bool turn_history::begin(const route& from, std::string_view workspace) {
-  attempt_ = record_name(workspace, facts_.attempt);
-  program_ = record_name(workspace, facts_.program);
-  previous_turn_ = record_name(workspace, facts_.previous_turn);
+  attempt_ = record_name(workspace, metadata_.attempt);
+  program_ = record_name(workspace, metadata_.program);
+  previous_turn_ = record_name(workspace, metadata_.previous_turn);
   reserved_ = has_budget();
   if (!from.keeps_history) {
     return reserved_;
@@ -45,7 +45,7 @@
   if (reserved_) {
     reservation.set_program(program_);
     reservation.set_attempt(attempt_);
-    reservation.set_tokens(facts_.max_output_tokens);
+    reservation.set_tokens(metadata_.max_output_tokens);
   }
   records_.reserve(reservation, requested_chain_, timeout, std::move(done));
 }
@@ -79,16 +79,16 @@
 std::optional<errc> turn_history::check_budget(
     const program_usage& usage) const {
   const budget_verdict verdict =
-      usage.decide(bytes_of(id_of(attempt_)), facts_.max_output_tokens,
-                   *facts_.token_budget);
+      usage.decide(bytes_of(id_of(attempt_)), metadata_.max_output_tokens,
+                   *metadata_.token_budget);
   if (verdict == budget_verdict::fits) {
     return std::nullopt;
   }
   log_info("budget_refused",
-           {{"request", facts_.attempt},
-            {"program", facts_.program},
-            {"budget", std::to_string(*facts_.token_budget)},
-            {"most", std::to_string(facts_.max_output_tokens)},
+           {{"request", metadata_.attempt},
+            {"program", metadata_.program},
+            {"budget", std::to_string(*metadata_.token_budget)},
+            {"most", std::to_string(metadata_.max_output_tokens)},
             {"used", std::to_string(usage.used())},
             {"open", std::to_string(usage.open())}});
   return verdict == budget_verdict::spent ? errc::tokens_spent
@@ -106,7 +106,7 @@
   made.set_attempt(attempt_);
   made.set_tokens(tokens);
   records_.keep(std::move(record), settle_timeout,
-                [attempt = facts_.attempt](std::error_code failed) {
+                [attempt = metadata_.attempt](std::error_code failed) {
                   if (failed) {
                     log_warn("settlement_lost", {{"request", attempt},
                                                  {"cause", failed.message()}});
--- a/test/gateway_unit_test.cc
+++ b/test/gateway_unit_test.cc
@@ -185,13 +185,13 @@
     request.headers.add("Connection", "close, X-Private");
     request.headers.add("X-Private", "1");
     request.headers.add("X-Kept", "yes");
-    const request_metadata facts = platform::decode_request(request);
+    const request_metadata metadata = platform::decode_request(request);
     const http1_request sent = platform::endpoint_request(
         request, {std::chrono::milliseconds(700), "i-1", std::nullopt});
 
-    CPPUNIT_ASSERT_EQUAL(std::string("a1"), facts.attempt);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{136}, facts.max_output_tokens);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, facts.prompt.size());
+    CPPUNIT_ASSERT_EQUAL(std::string("a1"), metadata.attempt);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{136}, metadata.max_output_tokens);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, metadata.prompt.size());
     CPPUNIT_ASSERT(!sent.headers.has("Trayrock-Hold"));
     CPPUNIT_ASSERT(!sent.headers.has("Trayrock-Pin-Ms"));
     CPPUNIT_ASSERT(!sent.headers.has("X-Private"));
--- a/test/workspaces_test.cc
+++ b/test/workspaces_test.cc
@@ -152,11 +152,11 @@
   void endpoint_gets_the_workspace_and_not_the_key() {
     http1_request request;
     request.headers.add("authorization", "Bearer key-1");
-    forwarding_options directions;
-    directions.workspace = "growers";
-    directions.strips_key = true;
+    forwarding_options options;
+    options.workspace = "growers";
+    options.strips_key = true;
     const header_list sent =
-        platform::endpoint_request(request, directions).headers;
+        platform::endpoint_request(request, options).headers;
 
     CPPUNIT_ASSERT_EQUAL(std::string_view("growers"),
                          sent.find("Trayrock-Tenant"));
@@ -168,12 +168,12 @@
     request.headers.add("Trayrock-Tenant", "buyers");
     request.headers.add("TRAYROCK-TENANT", "buyers");
     request.headers.add("Connection", "Trayrock-Tenant");
-    forwarding_options directions;
+    forwarding_options options;
     const header_list open =
-        platform::endpoint_request(request, directions).headers;
-    directions.workspace = "growers";
+        platform::endpoint_request(request, options).headers;
+    options.workspace = "growers";
     const header_list owned =
-        platform::endpoint_request(request, directions).headers;
+        platform::endpoint_request(request, options).headers;
 
     CPPUNIT_ASSERT(!open.has("Trayrock-Tenant"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owned.count("Trayrock-Tenant"));
