--- a/include/trayrock/internal/gateway/request_routing.h
+++ b/include/trayrock/internal/gateway/request_routing.h
@@ -4,10 +4,10 @@
 //
 // Example:
 //   request_routing routing;
-//   if (const auto error = routing.resolve(configuration, request, metadata)) {
+//   if (const auto error = routing.resolve(configuration, request, facts)) {
 //     reject(*error);
 //   }
-//   if (const auto error = routing.apply_time_limits(metadata, durations,
+//   if (const auto error = routing.apply_time_limits(facts, durations,
 //   time_to_shutdown)) {
 //     reject(*error);
 //   }
@@ -34,17 +34,17 @@
   // errc::unknown_key; what was found before the error is kept for the report.
   std::optional<errc> resolve(configuration_ptr configuration,
                               const http1_request& request,
-                              const request_metadata& metadata);
+                              const request_metadata& facts);
 
   // Checks that the key still belongs to the same workspace in a newer
   // configuration. Errors: errc::unknown_key.
   std::optional<errc> check_key(const trayrock::configuration* now,
-                                const request_metadata& metadata) const;
+                                const request_metadata& facts) const;
 
   // Sets the time limit: the least of the client's deadline, the route's
   // timeout and the time until the process stops. Requires a route. Errors:
   // errc::stopping.
-  std::optional<errc> apply_time_limits(const request_metadata& metadata,
+  std::optional<errc> apply_time_limits(const request_metadata& facts,
                                         const duration_estimator& durations,
                                         milliseconds time_to_shutdown);
 
