--- a/src/gateway/gateway_policy.cc
+++ b/src/gateway/gateway_policy.cc
@@ -33,7 +33,7 @@
       from.endpoints.choice.unconnected_factor = 1;
       return;
     case mechanism::late_by_comparison:
-      from.slow_endpoints.limit = objective_only{};
+      from.slow_endpoints.criterion = objective_only{};
       return;
     case mechanism::late_endpoints_left:
       from.slow_endpoints.allows_resend = false;
