--- a/include/trayrock/internal/gateway/endpoint_attempt.h
+++ b/include/trayrock/internal/gateway/endpoint_attempt.h
@@ -7,7 +7,7 @@
 //
 // Example:
 //   endpoint_attempt attempt(loop, pool, metadata);
-//   if (attempt.begin(endpoints.choose(wanted, now))) {
+//   if (attempt.begin(endpoints.choose(criteria, now))) {
 //     attempt.send(request, observer);
 //   }
 //   // in the observer's on_end:
--- a/test/gateway_policy_test.cc
+++ b/test/gateway_policy_test.cc
@@ -111,14 +111,14 @@
 
   void turn_is_placed_by_load_when_affinity_is_disabled() {
     const auto endpoints = two_endpoints();
-    endpoint_criteria wanted;
-    wanted.preferred = {"b"};
+    endpoint_criteria criteria;
+    criteria.preferred = {"b"};
     endpoints[1]->in_flight = 1;
     choice_policy policy;
-    const auto kept = choose_endpoint(endpoints, wanted, policy, start_ms);
+    const auto kept = choose_endpoint(endpoints, criteria, policy, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), kept->record.identity.id);
     policy.keeps_previous = false;
-    const auto free = choose_endpoint(endpoints, wanted, policy, start_ms);
+    const auto free = choose_endpoint(endpoints, criteria, policy, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), free->record.identity.id);
   }
 
@@ -126,11 +126,11 @@
     const std::chrono::milliseconds objective(200);
     slow_endpoint_policy policy;
     policy.criterion = objective_only{};
-    slow_endpoint_detector rule(policy);
+    slow_endpoint_detector detector(policy);
     for (int i = 0; i < 50; ++i) {
-      rule.record_first_byte(std::chrono::milliseconds(900));
+      detector.record_first_byte(std::chrono::milliseconds(900));
     }
-    CPPUNIT_ASSERT(rule.first_byte_timeout(objective) == objective);
+    CPPUNIT_ASSERT(detector.first_byte_timeout(objective) == objective);
   }
 
   void slow_endpoint_is_not_abandoned_when_disabled() {
