--- a/include/trayrock/internal/gateway/request_flow.h
+++ b/include/trayrock/internal/gateway/request_flow.h
@@ -51,7 +51,7 @@
   std::function<bool()> configuration_proven;
   // Milliseconds since the platform last confirmed the list of endpoints.
   std::function<std::uint64_t()> endpoints_age_ms;
-  // Time until open requests must be succeeded because the process stops; the
+  // Time until open requests need a response because the process stops; the
   // largest value while it isn't stopping.
   std::function<milliseconds()> time_to_shutdown;
   // Retry-After for requests that are rejected because the process stops.
--- a/include/trayrock/internal/gateway/request_metadata.h
+++ b/include/trayrock/internal/gateway/request_metadata.h
@@ -49,8 +49,8 @@
   std::string instance;        // the endpoint instance that is addressed
   std::optional<int> urgency;  // 0 (first) to 9
   std::string workspace;       // of the request; empty: none
-  // Removes the Authorization header. Where no key is required, the header
-  // belongs to the client and is passed on.
+  // Removes the Authorization header. Without configured workspaces it is the
+  // client's own and is passed on.
   bool strips_key = false;
   // Resumes a stream after this event; nothing: as the client requested.
   std::optional<std::uint64_t> resume_after;
--- a/include/trayrock/internal/gateway/request_routing.h
+++ b/include/trayrock/internal/gateway/request_routing.h
@@ -7,8 +7,8 @@
 //   if (const auto error = routing.resolve(configuration, request, facts)) {
 //     reject(*error);
 //   }
-//   if (const auto error = routing.apply_time_limits(facts, durations,
-//   time_to_shutdown)) {
+//   if (const auto error =
+//           routing.apply_time_limits(facts, durations, time_to_shutdown)) {
 //     reject(*error);
 //   }
 //   routing.route().name;
