--- /dev/null
+++ b/include/trayrock/internal/gateway/client_response.h
@@ -0,0 +1,67 @@
+// The response to one client, and the events sent in it so far.
+//
+// Streams are passed on as received; resumable ones by complete events only.
+// The head is that of the first endpoint, also after a resumption.
+//
+// Example:
+//   client_response response(exchange);
+//   response.begin(200, headers);
+//   response.pass(bytes);
+//   response.finish();
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "trayrock/internal/decide/complete_event_buffer.h"
+#include "trayrock/internal/decide/event_stream.h"
+#include "trayrock/internal/net/http1_server.h"
+
+namespace trayrock {
+
+class client_response {
+ public:
+  explicit client_response(http1_exchange_ptr exchange)
+      : out_(std::move(exchange)) {}
+
+  http1_exchange& exchange() { return *out_; }
+  bool has_begun() const { return out_->begun(); }
+
+  // From now on, only complete events are passed on.
+  void make_resumable() { resumable_ = true; }
+
+  // Begins the response unless it has begun.
+  void begin(int status, const header_list& headers);
+
+  // Passes on bytes of the endpoint's body. False if the run repeats events
+  // that the client has received; nothing more of it may be passed on then.
+  bool pass(std::string_view bytes);
+
+  // The next bytes are of another run, which resumes after the last complete
+  // event.
+  void begin_run() { complete_events_.begin_run(); }
+
+  // The id of the last event sent to the client; nothing if no run can resume
+  // after it.
+  std::optional<std::uint64_t> last_event_id() const {
+    return resumable_ ? complete_events_.last_id() : std::nullopt;
+  }
+
+  void finish();
+  void abort() { out_->abort(); }
+
+  // What was sent to the client, incomplete events included.
+  const event_stream& events() const { return events_; }
+
+ private:
+  void write(std::string_view bytes);
+
+  http1_exchange_ptr out_;
+  bool resumable_ = false;
+  complete_event_buffer complete_events_;
+  event_stream events_;
+};
+
+}  // namespace trayrock
--- a/test/gateway_policy_test.cc
+++ b/test/gateway_policy_test.cc
@@ -1,4 +1,4 @@
-// What a trial may leave out, and that nothing else changes with it.
+// Guards that each mechanism can be disabled alone, and none is by default.
 #include "trayrock/internal/gateway/gateway_policy.h"
 
 #include "test_support.h"
@@ -29,32 +29,32 @@
 
 class gateway_policy_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(gateway_policy_test);
-  CPPUNIT_TEST(every_mechanism_has_a_name_of_its_own);
-  CPPUNIT_TEST(each_mechanism_changes_the_policy);
-  CPPUNIT_TEST(nothing_is_left_out_by_itself);
-  CPPUNIT_TEST(settings_name_what_is_left_out);
-  CPPUNIT_TEST(unknown_mechanism_is_a_fault);
-  CPPUNIT_TEST(refusal_costs_no_pause_without_refusal_pauses);
-  CPPUNIT_TEST(endpoint_is_not_on_trial_without_trials);
-  CPPUNIT_TEST(turn_goes_by_load_without_previous_endpoint);
-  CPPUNIT_TEST(late_is_the_objective_without_comparison);
-  CPPUNIT_TEST(late_endpoint_is_kept_when_none_is_left);
-  CPPUNIT_TEST(stopping_gateway_reckons_with_a_fixed_time_without_durations);
+  CPPUNIT_TEST(mechanism_names_are_unique);
+  CPPUNIT_TEST(disabling_a_mechanism_changes_the_policy);
+  CPPUNIT_TEST(default_settings_disable_nothing);
+  CPPUNIT_TEST(settings_list_disabled_mechanisms);
+  CPPUNIT_TEST(unknown_mechanism_is_rejected);
+  CPPUNIT_TEST(refusal_causes_no_backoff_when_disabled);
+  CPPUNIT_TEST(no_probation_after_backoff_when_disabled);
+  CPPUNIT_TEST(turn_is_placed_by_load_when_affinity_is_disabled);
+  CPPUNIT_TEST(slow_threshold_is_the_objective_without_comparison);
+  CPPUNIT_TEST(slow_endpoint_is_not_abandoned_when_disabled);
+  CPPUNIT_TEST(stopping_gateway_assumes_a_fixed_duration_when_disabled);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void every_mechanism_has_a_name_of_its_own() {
-    std::set<mechanism> seen;
+  void mechanism_names_are_unique() {
+    std::set<mechanism> distinct;
     for (const std::string_view name : mechanism_names()) {
       const std::optional<mechanism> known = parse_mechanism(name);
       CPPUNIT_ASSERT_MESSAGE(std::string(name), known.has_value());
       CPPUNIT_ASSERT_EQUAL(std::string(name), names_of({*known}));
-      seen.insert(*known);
+      distinct.insert(*known);
     }
-    CPPUNIT_ASSERT_EQUAL(mechanism_names().size(), seen.size());
+    CPPUNIT_ASSERT_EQUAL(mechanism_names().size(), distinct.size());
   }
 
-  void each_mechanism_changes_the_policy() {
+  void disabling_a_mechanism_changes_the_policy() {
     const std::set<mechanism> of_stores{mechanism::ready_learners};
     for (const std::string_view name : mechanism_names()) {
       const mechanism each = *parse_mechanism(name);
@@ -64,7 +64,7 @@
     }
   }
 
-  void nothing_is_left_out_by_itself() {
+  void default_settings_disable_nothing() {
     fault_list faults;
     const gateway_settings read =
         read_gateway_settings(settings_text("{}"), faults);
@@ -73,7 +73,7 @@
                    gateway_policy());
   }
 
-  void settings_name_what_is_left_out() {
+  void settings_list_disabled_mechanisms() {
     fault_list faults;
     const gateway_settings read = read_gateway_settings(
         settings_text(R"({"without": ["relays", "lapses"]})"), faults);
@@ -83,7 +83,7 @@
                          names_of(read.service.trial_without));
   }
 
-  void unknown_mechanism_is_a_fault() {
+  void unknown_mechanism_is_rejected() {
     fault_list faults;
     read_gateway_settings(settings_text(R"({"without": ["gravity"]})"), faults);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, faults.size());
@@ -92,7 +92,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("trial/without"), faults[0].path);
   }
 
-  void refusal_costs_no_pause_without_refusal_pauses() {
+  void refusal_causes_no_backoff_when_disabled() {
     health_policy policy;
     policy.backs_off_after_refusals = false;
     endpoint_health health(policy);
@@ -100,7 +100,7 @@
     CPPUNIT_ASSERT(!health.is_in_backoff(start_ms + 1));
   }
 
-  void endpoint_is_not_on_trial_without_trials() {
+  void no_probation_after_backoff_when_disabled() {
     health_policy policy;
     policy.has_probation_after_backoff = false;
     endpoint_health health(policy);
@@ -109,38 +109,38 @@
     CPPUNIT_ASSERT(!health.is_on_probation(start_ms + 1000));
   }
 
-  void turn_goes_by_load_without_previous_endpoint() {
+  void turn_is_placed_by_load_when_affinity_is_disabled() {
     const auto endpoints = two_endpoints();
-    endpoint_criteria wanted;
-    wanted.preferred = {"b"};
+    endpoint_criteria criteria;
+    criteria.preferred = {"b"};
     endpoints[1]->in_flight = 1;
     choice_policy policy;
-    const auto kept = choose_endpoint(endpoints, wanted, policy, start_ms);
+    const auto kept = choose_endpoint(endpoints, criteria, policy, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), kept->record.identity.id);
     policy.keeps_previous = false;
-    const auto free = choose_endpoint(endpoints, wanted, policy, start_ms);
+    const auto free = choose_endpoint(endpoints, criteria, policy, start_ms);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), free->record.identity.id);
   }
 
-  void late_is_the_objective_without_comparison() {
+  void slow_threshold_is_the_objective_without_comparison() {
     const std::chrono::milliseconds objective(200);
     slow_endpoint_policy policy;
     policy.criterion = objective_only{};
-    slow_endpoint_detector rule(policy);
+    slow_endpoint_detector detector(policy);
     for (int i = 0; i < 50; ++i) {
-      rule.record_first_byte(std::chrono::milliseconds(900));
+      detector.record_first_byte(std::chrono::milliseconds(900));
     }
-    CPPUNIT_ASSERT(rule.first_byte_timeout(objective) == objective);
+    CPPUNIT_ASSERT(detector.first_byte_timeout(objective) == objective);
   }
 
-  void late_endpoint_is_kept_when_none_is_left() {
+  void slow_endpoint_is_not_abandoned_when_disabled() {
     slow_endpoint_policy policy;
     policy.allows_resend = false;
     CPPUNIT_ASSERT(!slow_endpoint_detector(policy).acquire_resend());
     CPPUNIT_ASSERT(slow_endpoint_detector().acquire_resend());
   }
 
-  void stopping_gateway_reckons_with_a_fixed_time_without_durations() {
+  void stopping_gateway_assumes_a_fixed_duration_when_disabled() {
     duration_estimator durations{by_fixed_time{}};
     for (int i = 0; i < 50; ++i) {
       durations.add("chat", std::chrono::milliseconds(20));
--- a/test/persistent_connection.h
+++ b/test/persistent_connection.h
@@ -1,9 +1,8 @@
-// A client's connection to one port of loopback that is kept from request to
-// request, until the server closes it.
+// A client's persistent (keep-alive) connection to a port on loopback.
 //
 // Example:
 //   persistent_connection to_gateway(port);
-//   const std::string answer = to_gateway.exchange(request, 10);
+//   const std::string response = to_gateway.exchange(request, 10);
 #pragma once
 
 #include <string>
@@ -17,9 +16,9 @@
   persistent_connection& operator=(const persistent_connection&) = delete;
   ~persistent_connection() { close(); }
 
-  // Sends a request once and reads its answer: head and body as they came,
-  // nothing more than what came before the connection or the time ended. A
-  // kept connection that the server has closed is replaced beforehand.
+  // Sends a request once and returns the raw response: what was received before
+  // the connection ended or the timeout. Reconnects first if the server has
+  // closed the connection.
   std::string exchange(const std::string& request, int seconds);
 
  private:
