--- a/include/trayrock/internal/records/permit_client.h
+++ b/include/trayrock/internal/records/permit_client.h
@@ -8,7 +8,7 @@
 // Example:
 //   permit_client permits(loop, pool, records, metrics, "north");
 //   permits.acquire({"growers", limit, permit_use::goes_on}, milliseconds(500),
-//                   [](const permit_answer& said) { ... });
+//                   [](const permit_result& said) { ... });
 //   permits.give_back(permit);  // its request has not run
 #pragma once
 
@@ -27,7 +27,7 @@
 
 namespace trayrock {
 
-struct permit_wish {
+struct permit_request {
   std::string workspace;
   request_limit limit;
   permit_use use = permit_use::regular;
@@ -40,11 +40,11 @@
 };
 // No store answered in time whether the limit is reached.
 struct permit_unknown {};
-using permit_answer = std::variant<permit, limit_reached, permit_unknown>;
+using permit_result = std::variant<permit, limit_reached, permit_unknown>;
 
 class permit_client {
  public:
-  using answer_callback = std::function<void(const permit_answer&)>;
+  using answer_callback = std::function<void(const permit_result&)>;
 
   // All that is passed in by reference outlives the object.
   permit_client(event_loop& loop, rpc_pool& pool, record_client& records,
@@ -57,7 +57,7 @@
 
   // Calls back once, at once if the answer is known. The callback keeps what it
   // needs alive.
-  void acquire(permit_wish wish, milliseconds limit, answer_callback done);
+  void acquire(permit_request wish, milliseconds limit, answer_callback done);
 
   // The permit's request has not run and will not. The store hears of it with
   // the next question for the workspace.
@@ -66,7 +66,7 @@
  private:
   struct operation;
   void adopt_group();
-  records::PermitRequest request_for(const permit_wish& wish,
+  records::PermitRequest request_for(const permit_request& wish,
                                      const records::Store& store);
 
   event_loop& loop_;
--- a/include/trayrock/internal/records/record_client.h
+++ b/include/trayrock/internal/records/record_client.h
@@ -48,7 +48,7 @@
 
   // Whether stores and relays alike leave all calls unanswered. Others may tell
   // it of what else they hear (decide/isolation_detector.h).
-  isolation_detector& contact() { return reach_.contact; }
+  isolation_detector& isolation() { return reach_.contact; }
 
   // Takes a group unless a newer one is known.
   void adopt(const records::Group& group);
--- a/include/trayrock/internal/records/record_book.h
+++ b/include/trayrock/internal/records/record_index.h
@@ -8,7 +8,7 @@
 // came, so that another store can read on from a position.
 //
 // Example:
-//   record_book book(read_from_disk);
+//   record_index book(read_from_disk);
 //   if (book.add(record, now)) write_to_disk(record);  // then book.durable()
 //   book.usage("program-1");
 //   book.chain("attempt-3").text;
@@ -43,7 +43,7 @@
   std::string endpoint;  // that made the turn's output
 };
 
-class record_book {
+class record_index {
  public:
   using record_reader =
       std::function<std::optional<records::Record>(const std::string& key)>;
@@ -55,7 +55,7 @@
     std::string key;
   };
 
-  explicit record_book(record_reader read_disk)
+  explicit record_index(record_reader read_disk)
       : read_disk_(std::move(read_disk)) {}
 
   // False when the record is held already or names nothing.
--- a/include/trayrock/internal/records/record_server.h
+++ b/include/trayrock/internal/records/record_server.h
@@ -21,8 +21,8 @@
 
 #include "trayrock/internal/metrics.h"
 #include "trayrock/internal/net/rpc.h"
-#include "trayrock/internal/records/record_book.h"
 #include "trayrock/internal/records/record_disk.h"
+#include "trayrock/internal/records/record_index.h"
 
 namespace trayrock {
 
@@ -41,7 +41,7 @@
   void start(std::function<void()> started);
 
   const records::StoreState& state() const { return state_; }
-  record_book& book() { return book_; }
+  record_index& book() { return book_; }
   std::uint64_t log() const { return log_; }
 
   // Takes a newer group; calls back when that is on the disk.
@@ -97,7 +97,7 @@
   rpc_server& server_;
   std::unique_ptr<record_disk> disk_;
   metrics_registry& metrics_;
-  record_book book_;
+  record_index book_;
   records::StoreState state_;
   std::uint64_t log_ = 0;
   bool disk_failed_ = false;
--- a/include/trayrock/internal/records/store_calls.h
+++ b/include/trayrock/internal/records/store_calls.h
@@ -32,8 +32,8 @@
 // Ways around a store that cannot be reached directly.
 struct relay_source {
   std::function<std::string()> pick;  // address of a relay; empty: none
-  std::function<void(const std::string&, relay_failure)> failed;
-  std::function<void(const std::string&)> passed_on;
+  std::function<void(const std::string&, relay_failure)> on_failure;
+  std::function<void(const std::string&)> on_success;
   // A store that has left calls unanswered for this long may be out of reach,
   // and is asked by a relay as well. One that is only slow answers somebody;
   // asking it twice would make it slower. Answers take 2 to 10 ms.
--- a/include/trayrock/internal/records/group_rules.h
+++ b/include/trayrock/internal/records/store_group.h
@@ -29,7 +29,7 @@
 }
 
 // The number of voters that a group should have.
-constexpr std::size_t full_group(std::size_t tolerated) {
+constexpr std::size_t full_group_size(std::size_t tolerated) {
   return 2 * tolerated + 1;
 }
 
--- a/src/decide/store_membership.cc
+++ b/src/decide/store_membership.cc
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 namespace {
@@ -118,7 +118,7 @@
     }
   }
   const auto voters = static_cast<std::size_t>(view.group.voters_size());
-  if (voters < full_group(view.group.tolerated())) {
+  if (voters < full_group_size(view.group.tolerated())) {
     places.push_back({"", "voter_missing"});
   }
   return places;
--- a/src/decide/store_peers.cc
+++ b/src/decide/store_peers.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 namespace {
--- a/src/gateway/gateway_main.cc
+++ b/src/gateway/gateway_main.cc
@@ -151,11 +151,11 @@
   bool ready() {
     return !stages_.draining() && view_.configuration() != nullptr &&
            endpoints_.size() > 0 && records_.has_group() &&
-           !records_.contact().is_isolated();
+           !records_.isolation().is_isolated();
   }
 
   milliseconds cut_off_for() {
-    const std::uint64_t since = records_.contact().isolated_since_ms();
+    const std::uint64_t since = records_.isolation().isolated_since_ms();
     return milliseconds(since == 0 ? 0 : loop_.now_ms() - since);
   }
 
@@ -163,7 +163,7 @@
   // connections are to find another one then; and peers are asked whether it is
   // over, since no request does that any more.
   void watch_contact() {
-    isolation_detector& contact = records_.contact();
+    isolation_detector& contact = records_.isolation();
     contact.tick(loop_.now_ms());
     if (contact.is_isolated() != was_cut_off_) {
       was_cut_off_ = contact.is_isolated();
@@ -173,7 +173,7 @@
       clients_.close_after_answers(was_cut_off_ || stages_.draining());
     }
     if (was_cut_off_) {
-      view_.probe_peer([this] { records_.contact().on_reply(); });
+      view_.probe_peer([this] { records_.isolation().on_reply(); });
     }
   }
 
--- a/src/gateway/peer_relays.cc
+++ b/src/gateway/peer_relays.cc
@@ -134,10 +134,10 @@
 relay_source peer_relays::source() {
   relay_source made;
   made.pick = [this] { return pick(); };
-  made.failed = [this](const std::string& address, relay_failure how) {
+  made.on_failure = [this](const std::string& address, relay_failure how) {
     choice_.record_failure(address, how, loop_.now_ms());
   };
-  made.passed_on = [this](const std::string& address) {
+  made.on_success = [this](const std::string& address) {
     choice_.record_success(address, loop_.now_ms());
   };
   return made;
--- a/src/gateway/platform_view.cc
+++ b/src/gateway/platform_view.cc
@@ -211,7 +211,7 @@
         if (reply) {
           heard();
         } else {
-          peers.failed(peer, relay_failure::no_reply);
+          peers.on_failure(peer, relay_failure::no_reply);
         }
       });
 }
--- a/src/gateway/request_flow_permit.cc
+++ b/src/gateway/request_flow_permit.cc
@@ -23,13 +23,13 @@
 
 void request_flow::acquire_permit() {
   const workspace& owner = *terms_.owner();
-  permit_wish wish;
+  permit_request wish;
   wish.workspace = owner.name;
   wish.limit = {owner.requests_per_second, owner.burst, terms_.from()->version};
   wish.use = use_of_permit();
   parts_.permits.acquire(
       std::move(wish), std::min(permit_limit, time_left()),
-      [self = shared_from_this()](const permit_answer& said) {
+      [self = shared_from_this()](const permit_result& said) {
         self->report_.permit_us = self->elapsed_us();
         std::visit([&](const auto& each) { self->take_permit(each); }, said);
       });
--- a/src/records/chain_reading.cc
+++ b/src/records/chain_reading.cc
@@ -1,6 +1,6 @@
 #include "trayrock/internal/records/chain_reading.h"
 
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 
--- a/src/records/permit_client.cc
+++ b/src/records/permit_client.cc
@@ -4,7 +4,7 @@
 #include <set>
 
 #include "trayrock/internal/log.h"
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 namespace {
@@ -29,12 +29,12 @@
 // One wish on its way from store to store.
 struct permit_client::operation
     : std::enable_shared_from_this<permit_client::operation> {
-  operation(permit_client& client_in, permit_wish wish_in,
+  operation(permit_client& client_in, permit_request wish_in,
             answer_callback done_in)
       : client(client_in), wish(std::move(wish_in)), done(std::move(done_in)) {}
 
   permit_client& client;
-  permit_wish wish;
+  permit_request wish;
   answer_callback done;
   std::set<std::string> tried;  // in this round
   bool relayed = false;         // this round goes by relays
@@ -111,11 +111,11 @@
          store = to.id()](const result<records::PermitReply>& answer) {
           if (!answer) {
             const bool relay_answered = answer.error() == errc::wire_garbled;
-            self->client.relays_.failed(
+            self->client.relays_.on_failure(
                 via, relay_answered ? relay_failure::store_unreachable
                                     : relay_failure::no_reply);
           } else {
-            self->client.relays_.passed_on(via);
+            self->client.relays_.on_success(via);
           }
           self->answered(store, answer);
         });
@@ -147,7 +147,7 @@
     step();
   }
 
-  void finish(const permit_answer& said) {
+  void finish(const permit_result& said) {
     if (!done) {
       return;
     }
@@ -186,7 +186,7 @@
   sources_.set_stores(std::move(stores));
 }
 
-records::PermitRequest permit_client::request_for(const permit_wish& wish,
+records::PermitRequest permit_client::request_for(const permit_request& wish,
                                                   const records::Store& store) {
   records::PermitRequest made;
   made.set_store(store.id());
@@ -205,7 +205,7 @@
   return made;
 }
 
-void permit_client::acquire(permit_wish wish, milliseconds limit,
+void permit_client::acquire(permit_request wish, milliseconds limit,
                             answer_callback done) {
   const auto made =
       std::make_shared<operation>(*this, std::move(wish), std::move(done));
--- a/src/records/permit_server.cc
+++ b/src/records/permit_server.cc
@@ -1,7 +1,7 @@
 #include "trayrock/internal/records/permit_server.h"
 
 #include "trayrock/internal/log.h"
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 namespace {
--- a/src/records/record_client.cc
+++ b/src/records/record_client.cc
@@ -5,7 +5,7 @@
 
 #include "trayrock/internal/log.h"
 #include "trayrock/internal/records/chain_reading.h"
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 namespace {
--- a/src/records/record_book.cc
+++ b/src/records/record_index.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/records/record_book.h"
+#include "trayrock/internal/records/record_index.h"
 
 #include <algorithm>
 
@@ -58,7 +58,7 @@
   return name.kind == 0 ? std::string() : key_of(name.kind, name.attempt);
 }
 
-bool record_book::add(const records::Record& record, std::uint64_t now_ms) {
+bool record_index::add(const records::Record& record, std::uint64_t now_ms) {
   if (!note(record, now_ms)) {
     return false;
   }
@@ -66,13 +66,13 @@
   return true;
 }
 
-bool record_book::add_durable(const records::Record& record,
-                              std::uint64_t now_ms) {
+bool record_index::add_durable(const records::Record& record,
+                               std::uint64_t now_ms) {
   return note(record, now_ms);
 }
 
 // Everything but the record's text.
-bool record_book::note(const records::Record& record, std::uint64_t now_ms) {
+bool record_index::note(const records::Record& record, std::uint64_t now_ms) {
   const record_name name = name_of(record);
   if (name.kind == 0) {
     return false;
@@ -87,7 +87,7 @@
   return true;
 }
 
-void record_book::apply(const records::Record& record, attempt_state& state) {
+void record_index::apply(const records::Record& record, attempt_state& state) {
   if (record.has_reservation()) {
     const records::Reservation& made = record.reservation();
     state.reserved = static_cast<std::uint32_t>(made.tokens());
@@ -110,8 +110,9 @@
   }
 }
 
-void record_book::note_program(const std::string& program,
-                               const record_id& attempt, attempt_state& state) {
+void record_index::note_program(const std::string& program,
+                                const record_id& attempt,
+                                attempt_state& state) {
   if (state.program != record_id{}) {
     return;
   }
@@ -119,7 +120,7 @@
   programs_[state.program].push_back(attempt);
 }
 
-bool record_book::has(const std::string& key) const {
+bool record_index::has(const std::string& key) const {
   if (key.empty()) {
     return false;
   }
@@ -129,7 +130,8 @@
          (found->second.kinds & bit_of(key.front())) != 0;
 }
 
-std::optional<records::Record> record_book::find(const std::string& key) const {
+std::optional<records::Record> record_index::find(
+    const std::string& key) const {
   const auto waiting = pending_.find(key);
   if (waiting != pending_.end()) {
     return waiting->second;
@@ -137,7 +139,7 @@
   return has(key) ? read_disk_(key) : std::nullopt;
 }
 
-turn_chain record_book::chain(std::string_view attempt) const {
+turn_chain record_index::chain(std::string_view attempt) const {
   std::vector<records::Record> turns;
   turn_chain made;
   std::string next(attempt);
@@ -158,7 +160,7 @@
   return made;
 }
 
-std::vector<turn_usage> record_book::usage(std::string_view program) const {
+std::vector<turn_usage> record_index::usage(std::string_view program) const {
   std::vector<turn_usage> found;
   const auto held = programs_.find(id_of(program));
   if (held == programs_.end()) {
@@ -174,7 +176,7 @@
   return found;
 }
 
-std::vector<record_book::numbered_key> record_book::after(
+std::vector<record_index::numbered_key> record_index::after(
     std::uint64_t position, std::size_t most) const {
   std::vector<numbered_key> found;
   const std::uint64_t first =
@@ -187,7 +189,7 @@
   return found;
 }
 
-std::vector<std::string> record_book::expire(std::uint64_t now_ms) {
+std::vector<std::string> record_index::expire(std::uint64_t now_ms) {
   const std::uint64_t kept_ms =
       longest_retention_s_ * ms_per_second + expiry_margin_ms;
   std::vector<std::string> gone;
@@ -205,7 +207,7 @@
 
 // An attempt goes with the last of its records, a program with the last of
 // its attempts.
-void record_book::drop(const log_entry& entry) {
+void record_index::drop(const log_entry& entry) {
   const auto found = attempts_.find(entry.attempt);
   if (found == attempts_.end()) {
     return;
--- a/src/records/store_calls.cc
+++ b/src/records/store_calls.cc
@@ -118,8 +118,8 @@
   const relay_source& relays = reach_.relays;
   if (answer) {
     reach_.note_answer(id, true);
-    if (relays.passed_on) {
-      relays.passed_on(via);
+    if (relays.on_success) {
+      relays.on_success(via);
     }
   } else {
     // An empty answer says that the relay does not reach the store.
@@ -127,8 +127,8 @@
     if (relay_answered) {
       reach_.contact.on_reply();
     }
-    relays.failed(via, relay_answered ? relay_failure::store_unreachable
-                                      : relay_failure::no_reply);
+    relays.on_failure(via, relay_answered ? relay_failure::store_unreachable
+                                          : relay_failure::no_reply);
   }
   answered_(id, std::move(answer));
 }
--- a/src/records/group_rules.cc
+++ b/src/records/store_group.cc
@@ -1,4 +1,4 @@
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 #include <algorithm>
 #include <set>
@@ -92,7 +92,7 @@
   std::set<std::string> chosen;
   const auto is_full = [&] {
     return static_cast<std::size_t>(group.voters_size()) >=
-           full_group(tolerated);
+           full_group_size(tolerated);
   };
   for (const bool spread : {true, false}) {
     for (const records::Store& each : candidates) {
--- a/src/records/store_membership_driver.cc
+++ b/src/records/store_membership_driver.cc
@@ -1,7 +1,7 @@
 #include "trayrock/internal/records/store_membership_driver.h"
 
 #include "trayrock/internal/log.h"
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 namespace {
@@ -101,7 +101,7 @@
 
 void store_membership_driver::create_group_of(
     const std::vector<records::Store>& announced) {
-  const std::size_t wanted = full_group(settings_.tolerated);
+  const std::size_t wanted = full_group_size(settings_.tolerated);
   const bool waited = loop_.now_ms() - started_ms_ >= announcement_wait_ms;
   const bool enough = announced.size() >= wanted ||
                       (waited && announced.size() > settings_.tolerated);
--- a/src/records/store_reader.cc
+++ b/src/records/store_reader.cc
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "trayrock/internal/records/group_rules.h"
 #include "trayrock/internal/records/record_id.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 namespace {
--- a/test/gateway_rules_test.cc
+++ b/test/gateway_rules_test.cc
@@ -6,7 +6,7 @@
 #include "trayrock/internal/decide/event_stream.h"
 #include "trayrock/internal/decide/token_budget.h"
 #include "trayrock/internal/gateway/endpoint_directory.h"
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock::testing {
 namespace {
--- a/test/permit_client_test.cc
+++ b/test/permit_client_test.cc
@@ -59,7 +59,7 @@
                         [](const std::string&, relay_failure) {},
                         [](const std::string&) {}});
 
-    const permit_answer said = acquire(loop, permits);
+    const permit_result said = acquire(loop, permits);
 
     CPPUNIT_ASSERT(std::holds_alternative<permit>(said));
     CPPUNIT_ASSERT_EQUAL(std::string("growers"), asked_for);
@@ -91,7 +91,7 @@
     records.adopt(group_at(local(ports[0]), 1));
     permit_client permits(loop, pool, records, metrics, "dc-0");
 
-    const permit_answer said = acquire(loop, permits);
+    const permit_result said = acquire(loop, permits);
 
     CPPUNIT_ASSERT(std::holds_alternative<permit>(said));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, records.group().epoch());
@@ -112,10 +112,10 @@
     return made;
   }
 
-  static permit_answer acquire(event_loop& loop, permit_client& permits) {
-    std::optional<permit_answer> seen;
+  static permit_result acquire(event_loop& loop, permit_client& permits) {
+    std::optional<permit_result> seen;
     permits.acquire({"growers", {10, 10, 1}, permit_use::regular},
-                    milliseconds(1500), [&](const permit_answer& said) {
+                    milliseconds(1500), [&](const permit_result& said) {
                       seen = said;
                       loop.stop();
                     });
--- a/test/record_client_test.cc
+++ b/test/record_client_test.cc
@@ -238,7 +238,7 @@
     std::string picked = cut_off;
     relay_source relays;
     relays.pick = [&] { return picked; };
-    relays.failed = [&](const auto&...) { picked = sound; };
+    relays.on_failure = [&](const auto&...) { picked = sound; };
     client_->use_relays(relays);
     client_->adopt(group);
     CPPUNIT_ASSERT_EQUAL(std::error_code(), keep(turn("t1", "", "one")));
--- a/test/record_book_test.cc
+++ b/test/record_index_test.cc
@@ -1,5 +1,5 @@
 // What a record store holds and forgets, without disk or clock.
-#include "trayrock/internal/records/record_book.h"
+#include "trayrock/internal/records/record_index.h"
 
 #include <map>
 
@@ -137,7 +137,7 @@
  private:
   std::map<std::string, records::Record> disk_;
   int reads_ = 0;
-  record_book book_{[this](const std::string& key) {
+  record_index book_{[this](const std::string& key) {
     ++reads_;
     return std::optional<records::Record>(disk_.at(key));
   }};
--- a/test/store_group_simulation.cc
+++ b/test/store_group_simulation.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <variant>
 
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock::testing::store_group {
 namespace {
@@ -368,7 +368,7 @@
 
 bool world::whole() {
   if (static_cast<std::size_t>(group_.voters_size()) <
-      full_group(group_.tolerated())) {
+      full_group_size(group_.tolerated())) {
     return false;
   }
   for (const records::Store& each : group_.voters()) {
--- a/test/store_membership_test.cc
+++ b/test/store_membership_test.cc
@@ -3,7 +3,7 @@
 
 #include "test_support.h"
 #include "trayrock/internal/decide/store_peers.h"
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock::testing {
 namespace {
--- a/test/token_budget_model_test.cc
+++ b/test/token_budget_model_test.cc
@@ -11,8 +11,8 @@
 
 #include "test_support.h"
 #include "trayrock/internal/decide/token_budget.h"
-#include "trayrock/internal/records/group_rules.h"
-#include "trayrock/internal/records/record_book.h"
+#include "trayrock/internal/records/record_index.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock::testing {
 namespace {
@@ -34,7 +34,7 @@
         tolerated_(tolerated),
         budget_(budget),
         allowed_(allowed) {
-    for (std::size_t i = 0; i < full_group(tolerated); ++i) {
+    for (std::size_t i = 0; i < full_group_size(tolerated); ++i) {
       stores_.emplace_back([](const std::string&) { return std::nullopt; });
     }
     away_.resize(stores_.size(), false);
@@ -176,7 +176,7 @@
   std::size_t tolerated_;
   std::uint64_t budget_;
   faults allowed_;
-  std::vector<record_book> stores_;
+  std::vector<record_index> stores_;
   std::vector<bool> away_;
   std::vector<turn> turns_;
   std::vector<settlement> settlements_;
