--- a/src/decide/store_membership.cc
+++ b/src/decide/store_membership.cc
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock {
 namespace {
@@ -119,7 +119,7 @@
     }
   }
   const auto voters = static_cast<std::size_t>(view.group.voters_size());
-  if (voters < full_group(view.group.tolerated())) {
+  if (voters < full_group_size(view.group.tolerated())) {
     vacancies.push_back({"", "voter_missing"});
   }
   return vacancies;
--- a/src/gateway/peer_relays.cc
+++ b/src/gateway/peer_relays.cc
@@ -136,10 +136,10 @@
 relay_source peer_relays::source() {
   relay_source made;
   made.pick = [this] { return pick(); };
-  made.failed = [this](const std::string& address, relay_failure how) {
+  made.on_failure = [this](const std::string& address, relay_failure how) {
     selector_.record_failure(address, how, loop_.now_ms());
   };
-  made.passed_on = [this](const std::string& address) {
+  made.on_success = [this](const std::string& address) {
     selector_.record_success(address, loop_.now_ms());
   };
   return made;
--- a/test/store_group_simulation.cc
+++ b/test/store_group_simulation.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <variant>
 
-#include "trayrock/internal/records/group_rules.h"
+#include "trayrock/internal/records/store_group.h"
 
 namespace trayrock::testing::store_group {
 namespace {
@@ -371,7 +371,7 @@
 
 bool simulation::is_group_complete() {
   if (static_cast<std::size_t>(group_.voters_size()) <
-      full_group(group_.tolerated())) {
+      full_group_size(group_.tolerated())) {
     return false;
   }
   for (const records::Store& each : group_.voters()) {
