--- a/src/gateway/gateway_main.cc
+++ b/src/gateway/gateway_main.cc
@@ -151,11 +151,11 @@
   bool ready() {
     return !lifecycle_.draining() && view_.configuration() != nullptr &&
            endpoints_.size() > 0 && records_.has_group() &&
-           !records_.contact().is_isolated();
+           !records_.isolation().is_isolated();
   }
 
   milliseconds isolated_for() {
-    const std::uint64_t since = records_.contact().isolated_since_ms();
+    const std::uint64_t since = records_.isolation().isolated_since_ms();
     return milliseconds(since == 0 ? 0 : loop_.now_ms() - since);
   }
 
@@ -163,7 +163,7 @@
   // closes keep-alive connections, so that clients move to another gateway, and
   // polls its peers, since no request would notice the end of the isolation.
   void update_isolation() {
-    isolation_detector& contact = records_.contact();
+    isolation_detector& contact = records_.isolation();
     contact.tick(loop_.now_ms());
     if (contact.is_isolated() != was_isolated_) {
       was_isolated_ = contact.is_isolated();
@@ -174,7 +174,7 @@
                                          lifecycle_.draining());
     }
     if (was_isolated_) {
-      view_.probe_peer([this] { records_.contact().on_reply(); });
+      view_.probe_peer([this] { records_.isolation().on_reply(); });
     }
   }
 
