--- a/src/gateway/request_flow_permit.cc
+++ b/src/gateway/request_flow_permit.cc
@@ -23,13 +23,13 @@
 
 void request_flow::acquire_permit() {
   const workspace& owner = *routing_.owner();
-  permit_request wish;
-  wish.workspace = owner.name;
-  wish.limit = {owner.requests_per_second, owner.burst,
-                routing_.configuration()->version};
-  wish.use = use_of_permit();
+  permit_request request;
+  request.workspace = owner.name;
+  request.limit = {owner.requests_per_second, owner.burst,
+                   routing_.configuration()->version};
+  request.use = use_of_permit();
   context_.permits.acquire(
-      std::move(wish), std::min(permit_timeout, time_left()),
+      std::move(request), std::min(permit_timeout, time_left()),
       [self = shared_from_this()](const permit_result& reply) {
         self->report_.permit_us = self->elapsed_us();
         std::visit([&](const auto& each) { self->on_permit(each); }, reply);
