--- a/include/trayrock/internal/records/disk_files.h
+++ b/include/trayrock/internal/records/disk_files.h
@@ -1,8 +1,8 @@
-// The files of a record store's folder, as the log of segments uses them.
+// File system interface of the segment log.
 //
-// A file that was made lasts once it has been synced itself. One that was
-// removed may be back after a loss of power. Tests put a disk of their own in
-// the place of the folder (test/volatile_disk.h).
+// A created file survives a power loss once it has been synced itself. A
+// removed file may reappear after a power loss. Tests use a simulated disk
+// instead (test/volatile_disk.h).
 //
 // Example:
 //   posix_files files("/data");
@@ -23,8 +23,8 @@
 
 namespace trayrock {
 
-// One open file. Appending and syncing are for one thread; reading may go on
-// beside them.
+// One open file. Only one thread may append and sync; other threads may read
+// concurrently.
 class disk_file {
  public:
   disk_file() = default;
@@ -32,11 +32,11 @@
   disk_file& operator=(const disk_file&) = delete;
   virtual ~disk_file() = default;
 
-  // Errors of all: what the system says.
+  // All methods return the error code of the operating system.
   virtual std::error_code append(std::string_view bytes) = 0;
   virtual std::error_code sync() = 0;
 
-  // The bytes from an offset on, at most `length`; fewer at the file's end.
+  // Reads up to `length` bytes at an offset; fewer at the end of the file.
   virtual result<std::string> read(std::uint64_t offset,
                                    std::size_t length) const = 0;
   virtual result<std::string> read_all() const = 0;
@@ -57,7 +57,7 @@
   virtual std::error_code remove(const std::string& name) = 0;
 };
 
-// A folder of the system; it is made if it is not there.
+// A directory of the file system, created if it does not exist.
 class posix_files final : public disk_files {
  public:
   explicit posix_files(std::string folder);
--- a/include/trayrock/internal/records/group_rules.h
+++ b/include/trayrock/internal/records/group_rules.h
@@ -1,9 +1,11 @@
-// The arithmetic of a group of record stores, and what a voter accepts.
+// Quorums and membership changes of a group of record stores, and which writes
+// a voter accepts.
 //
-// A group of n voters bears the loss of f. A write counts once `write_quorum`
-// voters have it on disk. Any `read_quorum` voters together hold every write
-// that counts, so they may say that something is not there; as many must be
-// told of a new epoch (fenced) before a new voter can have read everything.
+// A group of n voters tolerates the loss of f. A write is committed once
+// `write_quorum` voters have it on disk. Any `read_quorum` voters together
+// store every committed write, so they can confirm that a record is missing; as
+// many must be fenced with a new epoch before a new voter can have read
+// everything.
 //
 // Example:
 //   write_quorum(3, 1);  // 2
@@ -45,43 +47,43 @@
   return find_store(group.learners(), id) != nullptr;
 }
 
-// Whether a store of this state takes the write. Learners take writes of every
-// epoch, since nobody counts them. A store that has not heard yet that the
-// group shrank can not say what there is not.
+// Whether a store of this state accepts the write. Learners accept writes of
+// every epoch, since they are not part of a quorum. A store that has not
+// received the epoch in which the group shrank cannot confirm that a record is
+// missing.
 records::Outcome judge_write(const records::StoreState& state,
                              const records::WriteRequest& request);
 
-// Takes a group into a store's state unless a newer one is known. A voter goes
-// on counting unless the group shrank behind the epoch in which it counted.
-// True if the epoch is a newer one.
+// Stores a group in a store's state unless the state has a newer one. A voter
+// continues to count unless the group shrank after the epoch in which it
+// counted. Returns true if the epoch is newer.
 bool adopt_group(records::StoreState& state, const records::Group& group);
 
-// What a store of this state answers to a fence for `epoch`, which it has
-// adopted. A store that is leaving the group counts: it holds all that the
-// epoch before asked of it.
+// The reply of a store of this state to a fence for `epoch`, which it has
+// adopted. A store that is leaving the group counts: it stores all that the
+// previous epoch requires.
 records::FenceReply answer_fence(const records::StoreState& state,
                                  std::uint64_t epoch);
 
-// The first group of a system: of the announced stores one of each data
-// centre, then more until the group is full, in the order of their boxes.
+// The first group of a system: one announced store of each data centre, then
+// more until the group is full, in the order of their boxes.
 records::Group first_group(std::span<const records::Store> announced,
                            std::uint32_t tolerated);
 
 // The group with `joining` as a voter: in place of `leaving`, or added where
-// `leaving` is empty. Raises the epoch. Other stores that
-// learn go on, and are ready for the next place.
+// `leaving` is empty. Raises the epoch. Other learners stay.
 records::Group with_voter(const records::Group& from,
                           const records::Store& joining,
                           const std::string& leaving);
 
-// The group without a voter.
+// The group without a voter. Raises the epoch.
 records::Group without_voter(const records::Group& from,
                              const std::string& leaving);
 
-// The group with one more learner and without those named as gone; older ones
-// of the same address go too.
+// The group with one more learner and without the lost ones; older learners of
+// the same address are removed too.
 records::Group with_learner(const records::Group& from,
                             const records::Store& joining,
-                            std::span<const std::string> gone);
+                            std::span<const std::string> lost);
 
 }  // namespace trayrock
--- a/src/records/disk_files.cc
+++ b/src/records/disk_files.cc
@@ -33,29 +33,29 @@
   }
 
   result<std::string> read_all() const override {
-    struct stat about {};
-    if (fstat(file_, &about) != 0) {
+    struct stat status {};
+    if (fstat(file_, &status) != 0) {
       return last_error();
     }
-    return read(0, static_cast<std::size_t>(about.st_size));
+    return read(0, static_cast<std::size_t>(status.st_size));
   }
 
   result<std::string> read(std::uint64_t offset,
                            std::size_t length) const override {
     std::string bytes(length, '\0');
-    std::size_t held = 0;
-    while (held < length) {
-      const ssize_t got = pread(file_, bytes.data() + held, length - held,
-                                static_cast<off_t>(offset + held));
+    std::size_t filled = 0;
+    while (filled < length) {
+      const ssize_t got = pread(file_, bytes.data() + filled, length - filled,
+                                static_cast<off_t>(offset + filled));
       if (got < 0 && errno != EINTR) {
         return last_error();
       }
       if (got == 0) {
         break;
       }
-      held += got < 0 ? 0 : static_cast<std::size_t>(got);
+      filled += got < 0 ? 0 : static_cast<std::size_t>(got);
     }
-    bytes.resize(held);
+    bytes.resize(filled);
     return bytes;
   }
 
@@ -63,7 +63,8 @@
   int file_;
 };
 
-result<std::unique_ptr<disk_file>> opened(const std::string& path, int flags) {
+result<std::unique_ptr<disk_file>> open_file(const std::string& path,
+                                             int flags) {
   constexpr mode_t owner_only = 0600;
   const int file = ::open(path.c_str(), flags | O_CLOEXEC, owner_only);
   if (file < 0) {
@@ -75,7 +76,7 @@
 }  // namespace
 
 posix_files::posix_files(std::string folder) : folder_(std::move(folder)) {
-  std::error_code ignored;  // an existing folder is what is wanted
+  std::error_code ignored;  // the folder may exist already
   std::filesystem::create_directories(folder_, ignored);
 }
 
@@ -95,12 +96,12 @@
 
 result<std::unique_ptr<disk_file>> posix_files::create(
     const std::string& name) {
-  return opened(folder_ + "/" + name, O_RDWR | O_CREAT | O_EXCL | O_APPEND);
+  return open_file(folder_ + "/" + name, O_RDWR | O_CREAT | O_EXCL | O_APPEND);
 }
 
 result<std::unique_ptr<disk_file>> posix_files::open(
     const std::string& name) const {
-  return opened(folder_ + "/" + name, O_RDONLY);
+  return open_file(folder_ + "/" + name, O_RDONLY);
 }
 
 std::error_code posix_files::remove(const std::string& name) {
--- a/src/records/group_rules.cc
+++ b/src/records/group_rules.cc
@@ -11,10 +11,10 @@
 using store_list = google::protobuf::RepeatedPtrField<records::Store>;
 
 template <typename condition>
-void erase_stores(store_list& from, condition gone) {
+void erase_stores(store_list& from, condition removed) {
   store_list kept;
   for (const records::Store& each : from) {
-    if (!gone(each)) {
+    if (!removed(each)) {
       *kept.Add() = each;
     }
   }
@@ -134,11 +134,12 @@
 
 records::Group with_learner(const records::Group& from,
                             const records::Store& joining,
-                            std::span<const std::string> gone) {
+                            std::span<const std::string> removed) {
   records::Group next = from;
   erase_stores(*next.mutable_learners(), [&](const records::Store& each) {
     return each.id() == joining.id() || each.address() == joining.address() ||
-           std::find(gone.begin(), gone.end(), each.id()) != gone.end();
+           std::find(removed.begin(), removed.end(), each.id()) !=
+               removed.end();
   });
   *next.add_learners() = joining;
   return next;
