--- a/include/trayrock/internal/records/permit_client.h
+++ b/include/trayrock/internal/records/permit_client.h
@@ -1,15 +1,15 @@
-// Gets permits for requests of workspaces whose rate is limited, from the
-// group's record stores.
+// Acquires permits for requests of rate-limited workspaces from the group's
+// record stores.
 //
-// Which store is asked is decided by decide/permit_sources.h. One that is known
-// to be out of reach is asked by way of another gateway, and all are once two
-// have given no direct answer.
+// decide/permit_sources.h selects the store. A store that is unreachable is
+// called through a relay, and so are all stores once two direct calls of a
+// request have failed.
 //
 // Example:
 //   permit_client permits(loop, pool, records, metrics, "north");
-//   permits.acquire({"growers", limit, permit_use::goes_on}, milliseconds(500),
-//                   [](const permit_answer& said) { ... });
-//   permits.give_back(permit);  // its request has not run
+//   permits.acquire({"growers", limit, permit_use::regular}, milliseconds(500),
+//                   [](const permit_answer& reply) { ... });
+//   permits.give_back(permit);  // the request was not run
 #pragma once
 
 #include <functional>
@@ -38,29 +38,29 @@
   std::string store;
   std::uint64_t slot = 0;
 };
-// No store answered in time whether the limit is reached.
+// No store replied in time.
 struct permit_unknown {};
 using permit_answer = std::variant<permit, limit_reached, permit_unknown>;
 
 class permit_client {
  public:
-  using answer_callback = std::function<void(const permit_answer&)>;
+  using acquire_callback = std::function<void(const permit_answer&)>;
 
-  // All that is passed in by reference outlives the object.
+  // All references must outlive the object.
   permit_client(event_loop& loop, rpc_pool& pool, record_client& records,
                 metrics_registry& metrics, std::string data_centre);
   permit_client(const permit_client&) = delete;
   permit_client& operator=(const permit_client&) = delete;
 
-  // Calls to a store that does not answer also go by a relay.
+  // Calls to an unresponsive store also go through a relay.
   void use_relays(relay_source relays) { relays_ = std::move(relays); }
 
-  // Calls back once, at once if the answer is known. The callback keeps what it
-  // needs alive.
-  void acquire(permit_wish wish, milliseconds limit, answer_callback done);
+  // Calls back once, possibly before returning. The callback must keep what it
+  // uses alive.
+  void acquire(permit_wish wish, milliseconds limit, acquire_callback done);
 
-  // The permit's request has not run and will not. The store hears of it with
-  // the next question for the workspace.
+  // Returns a permit whose request was not run and will not be. It is sent to
+  // the store with the next request for the workspace.
   void give_back(const permit& unused);
 
  private:
@@ -75,10 +75,10 @@
   metrics_registry& metrics_;
   permit_sources sources_;
   relay_source relays_;
-  std::uint64_t epoch_ = 0;  // of the group that the sources are from
-  // Slots of permits to be given back, by store and workspace.
+  std::uint64_t epoch_ = 0;  // of the group in `sources_`
+  // Slots of permits to return, by store and workspace.
   std::map<std::pair<std::string, std::string>, std::vector<std::uint64_t>>
-      unused_;
+      unused_slots_;
 };
 
 }  // namespace trayrock
--- a/src/records/permit_client.cc
+++ b/src/records/permit_client.cc
@@ -9,15 +9,14 @@
 namespace trayrock {
 namespace {
 
-// Stores answer within 1 to 3 ms, one that is seven times slower within 20.
-constexpr milliseconds store_patience{150};
-constexpr milliseconds relay_patience{350};
-// Stores that give a request no direct answer before it goes by relays.
-constexpr int most_unanswered = 2;
-// Before the stores are asked anew when none answered.
-constexpr milliseconds next_round_pause{100};
-// Permits to be given back that are kept for one store and workspace.
-constexpr std::size_t most_unused = 256;
+constexpr milliseconds store_timeout{150};
+constexpr milliseconds relay_timeout{350};
+// Direct calls that fail before a request goes through relays.
+constexpr int max_unanswered_calls = 2;
+// Delay before the next round when no store gave a usable reply.
+constexpr milliseconds round_delay{100};
+// Slots to return that are kept per store and workspace.
+constexpr std::size_t max_unused_slots = 256;
 
 std::uint64_t random_seed() {
   std::random_device source;
@@ -26,21 +25,21 @@
 
 }  // namespace
 
-// One wish on its way from store to store.
+// One request for a permit, tried at one store after another.
 struct permit_client::operation
     : std::enable_shared_from_this<permit_client::operation> {
   operation(permit_client& client_in, permit_wish wish_in,
-            answer_callback done_in)
+            acquire_callback done_in)
       : client(client_in), wish(std::move(wish_in)), done(std::move(done_in)) {}
 
   permit_client& client;
   permit_wish wish;
-  answer_callback done;
+  acquire_callback done;
   std::set<std::string> tried;  // in this round
-  bool relayed = false;         // this round goes by relays
+  bool relayed = false;         // this round goes through relays
   int unanswered = 0;           // direct calls
-  rpc_call asking;
-  timer again;
+  rpc_call call;
+  timer next_round;
   timer limit;
 
   void step() {
@@ -50,117 +49,118 @@
     std::visit([this](const auto& each) { act(each); }, next);
   }
 
-  void act(const try_store& asked) {
-    tried.insert(asked.store);
+  void act(const try_store& next) {
+    tried.insert(next.store);
     const records::Store* to =
-        find_store(client.records_.group().voters(), asked.store);
+        find_store(client.records_.group().voters(), next.store);
     if (to == nullptr) {
       step();
     } else if (relayed || !client.records_.reaches(to->id())) {
-      ask_by_relay(*to);
+      call_by_relay(*to);
     } else {
-      ask(*to);
+      call_store(*to);
     }
   }
 
   void act(const limit_reached& reached) { finish(reached); }
 
-  // Every store has been asked. The next round goes by relays.
+  // Every store was tried. The next round goes through relays, if there are
+  // any; rounds alternate.
   void act(const no_store_available&) {
     tried.clear();
     relayed = !relayed && client.relays_.pick != nullptr;
-    again = client.loop_.after(relayed ? milliseconds(0) : next_round_pause,
-                               [self = shared_from_this()] { self->step(); });
+    next_round =
+        client.loop_.after(relayed ? milliseconds(0) : round_delay,
+                           [self = shared_from_this()] { self->step(); });
   }
 
-  void ask(const records::Store& to) {
-    asking = client.pool_.ask<records::PermitReply>(
-        to.address(), "Permit", client.request_for(wish, to), store_patience,
+  void call_store(const records::Store& to) {
+    call = client.pool_.ask<records::PermitReply>(
+        to.address(), "Permit", client.request_for(wish, to), store_timeout,
         [self = shared_from_this(),
-         store = to.id()](const result<records::PermitReply>& answer) {
-          self->direct_answered(store, answer);
+         store = to.id()](const result<records::PermitReply>& reply) {
+          self->on_direct_reply(store, reply);
         });
   }
 
-  // Whoever gets no answer from two stores is more likely to be cut off from
-  // all than to have met two that are away.
-  void direct_answered(const std::string& store,
-                       const result<records::PermitReply>& answer) {
-    unanswered += answer ? 0 : 1;
-    if (unanswered >= most_unanswered && client.relays_.pick) {
+  // Two failed calls more likely mean that this gateway is partitioned from all
+  // stores than that both stores are down.
+  void on_direct_reply(const std::string& store,
+                       const result<records::PermitReply>& reply) {
+    unanswered += reply ? 0 : 1;
+    if (unanswered >= max_unanswered_calls && client.relays_.pick) {
       relayed = true;
       unanswered = 0;
       tried.clear();
     }
-    answered(store, answer);
+    on_reply(store, reply);
   }
 
-  void ask_by_relay(const records::Store& to) {
+  void call_by_relay(const records::Store& to) {
     const std::string via =
         client.relays_.pick ? client.relays_.pick() : std::string();
     if (via.empty()) {
-      ask(to);
+      call_store(to);
       return;
     }
     records::RelayRequest request;
     request.set_address(to.address());
     *request.mutable_permit() = client.request_for(wish, to);
-    asking = client.pool_.ask<records::PermitReply>(
-        via, "Relay", request, relay_patience,
+    call = client.pool_.ask<records::PermitReply>(
+        via, "Relay", request, relay_timeout,
         [self = shared_from_this(), via,
-         store = to.id()](const result<records::PermitReply>& answer) {
-          if (!answer) {
-            const bool relay_answered = answer.error() == errc::wire_garbled;
+         store = to.id()](const result<records::PermitReply>& reply) {
+          if (!reply) {
+            const bool relay_replied = reply.error() == errc::wire_garbled;
             self->client.relays_.failed(
-                via, relay_answered ? relay_failure::store_unreachable
-                                    : relay_failure::no_reply);
+                via, relay_replied ? relay_failure::store_unreachable
+                                   : relay_failure::no_reply);
           } else {
             self->client.relays_.passed_on(via);
           }
-          self->answered(store, answer);
+          self->on_reply(store, reply);
         });
   }
 
-  void answered(const std::string& store,
-                const result<records::PermitReply>& answer) {
+  void on_reply(const std::string& store,
+                const result<records::PermitReply>& reply) {
     if (!done) {
       return;
     }
     const std::uint64_t now = client.loop_.now_ms();
-    const bool usable =
-        answer && answer.value().outcome() == records::OUTCOME_OK;
+    const bool usable = reply && reply.value().outcome() == records::OUTCOME_OK;
     if (!usable) {
-      if (answer && answer.value().has_group()) {
-        client.records_.adopt(answer.value().group());
+      if (reply && reply.value().has_group()) {
+        client.records_.adopt(reply.value().group());
       }
       client.sources_.on_failure(store, now);
       step();
       return;
     }
     client.sources_.on_reply(store);
-    if (answer.value().given()) {
-      finish(permit{wish.workspace, store, answer.value().slot()});
+    if (reply.value().given()) {
+      finish(permit{wish.workspace, store, reply.value().slot()});
       return;
     }
     client.sources_.on_refusal(wish.workspace, wish.use, store,
-                               milliseconds(answer.value().next_ms()), now);
+                               milliseconds(reply.value().next_ms()), now);
     step();
   }
 
-  void finish(const permit_answer& said) {
+  void finish(const permit_answer& reply) {
     if (!done) {
       return;
     }
-    again.cancel();
+    next_round.cancel();
     limit.cancel();
-    const char* outcome = std::holds_alternative<permit>(said) ? "given"
-                          : std::holds_alternative<limit_reached>(said)
+    const char* outcome = std::holds_alternative<permit>(reply) ? "given"
+                          : std::holds_alternative<limit_reached>(reply)
                               ? "limit_reached"
                               : "unknown";
     client.metrics_.add("permits_total", {{"outcome", outcome}});
-    const auto tell = std::move(done);
+    const auto callback = std::move(done);
     done = nullptr;
-    tell(said);
+    callback(reply);
   }
 };
 
@@ -196,32 +196,33 @@
   made.set_per_second(wish.limit.per_second);
   made.set_burst(wish.limit.burst);
   made.set_starts_program(wish.use == permit_use::starts_program);
-  const auto unused = unused_.find({store.id(), wish.workspace});
-  if (unused != unused_.end()) {
+  const auto unused = unused_slots_.find({store.id(), wish.workspace});
+  if (unused != unused_slots_.end()) {
     made.mutable_given_back()->Add(unused->second.begin(),
                                    unused->second.end());
-    unused_.erase(unused);
+    unused_slots_.erase(unused);
   }
   return made;
 }
 
 void permit_client::acquire(permit_wish wish, milliseconds limit,
-                            answer_callback done) {
+                            acquire_callback done) {
   const auto made =
       std::make_shared<operation>(*this, std::move(wish), std::move(done));
   const std::weak_ptr<operation> weak = made;
   made->limit = loop_.after(limit, [weak] {
-    if (const auto held = weak.lock()) {
-      held->asking.cancel();
-      held->finish(permit_unknown{});
+    if (const auto self = weak.lock()) {
+      self->call.cancel();
+      self->finish(permit_unknown{});
     }
   });
   made->step();
 }
 
 void permit_client::give_back(const permit& unused) {
-  std::vector<std::uint64_t>& slots = unused_[{unused.store, unused.workspace}];
-  if (slots.size() < most_unused) {
+  std::vector<std::uint64_t>& slots =
+      unused_slots_[{unused.store, unused.workspace}];
+  if (slots.size() < max_unused_slots) {
     slots.push_back(unused.slot);
   }
 }
