--- a/include/trayrock/internal/records/record_client.h
+++ b/include/trayrock/internal/records/record_client.h
@@ -1,10 +1,9 @@
 // Writes and reads records at the group's voters.
 //
-// A reservation and the question for a turn's chain travel together, so that
-// a turn costs one round trip before it is sent. An operation goes on at the
-// next group when the epoch changes, and asks a voter again that did not
-// answer, until its time is over: records are immutable, so that asking twice
-// is harmless.
+// A reservation and the query for a turn's chain share a request, so that a
+// turn costs one round trip before it is sent. Until its time limit, an
+// operation restarts with the new group when the epoch changes, and retries a
+// voter that did not reply. Records are immutable, so retries are harmless.
 //
 // Example:
 //   client.reserve({program, attempt, 30}, previous, limit,
@@ -27,9 +26,9 @@
 
 struct reserved_turn {
   program_usage usage;
-  bool chain_found = false;  // false: enough voters say that there is none
+  bool chain_found = false;  // false: a read quorum of voters lacks it
   std::string text;          // of the chain, oldest turn first
-  std::string endpoint;      // that made the newest turn's output
+  std::string endpoint;      // that produced the newest turn's output
 };
 
 class record_client {
@@ -43,27 +42,29 @@
   record_client& operator=(const record_client&) = delete;
   ~record_client();
 
-  // Calls to a store that does not answer at once also go by a relay.
-  void use_relays(relay_source relays) { reach_.relays = std::move(relays); }
+  // Calls to an unresponsive store also go through a relay.
+  void use_relays(relay_source relays) {
+    connectivity_.relays = std::move(relays);
+  }
 
-  // Whether stores and relays alike leave all calls unanswered. Others may tell
-  // it of what else they hear (decide/isolation_detector.h).
-  isolation_detector& contact() { return reach_.contact; }
+  // Detects that neither stores nor relays reply. Other clients may report
+  // replies that they receive (decide/isolation_detector.h).
+  isolation_detector& contact() { return connectivity_.isolation; }
 
-  // Takes a group unless a newer one is known.
+  // Adopts a group unless a newer one is known.
   void adopt(const records::Group& group);
 
   bool has_group() const { return !group_.voters().empty(); }
   const records::Group& group() const { return group_; }
 
-  // False while direct calls to the store stay unanswered.
+  // False while direct calls to the store get no reply.
   bool reaches(const std::string& store) const {
-    return !reach_.is_silent(store);
+    return !connectivity_.is_silent(store);
   }
 
   // Makes the reservation durable (if it names a program) and reads the chain
   // of `previous` (if it is not empty), from several voters if no single one
-  // holds all of it. Errors: errc::history_unavailable.
+  // stores all of it. Errors: errc::history_unavailable.
   void reserve(const records::Reservation& reservation,
                const std::string& previous, milliseconds limit,
                reserve_callback done);
@@ -77,7 +78,7 @@
   friend struct operation;
   void begin(const std::shared_ptr<operation>& made, milliseconds limit);
 
-  store_reach reach_;
+  store_connectivity connectivity_;
   std::string data_centre_;
   records::Group group_;
   std::set<std::shared_ptr<operation>> running_;
--- a/include/trayrock/internal/records/store_calls.h
+++ b/include/trayrock/internal/records/store_calls.h
@@ -1,15 +1,15 @@
-// Calls of one operation to the record stores: directly, and by a relay where
-// a store does not answer.
+// Calls of one operation to the record stores: directly, and also through a
+// relay if a store is unresponsive.
 //
-// `store_reach` is what a client knows of the ways to the stores; all its
-// operations share it. A direct call that waits looks now and then whether its
-// store has gone silent, and then goes by a relay as well. What the relay says
-// decides then, unless a direct answer comes first.
+// All operations of a client share a `store_connectivity`. A pending direct
+// call checks periodically whether its store is silent, and is then sent
+// through a relay as well. The relay's reply is final then, unless a direct
+// reply comes first.
 //
 // Example:
-//   store_reach reach(loop, pool, metrics);
-//   const auto calls = store_calls::make(reach, on_answer);
-//   calls->ask(store, request);  // on_answer(store.id(), answer)
+//   store_connectivity connectivity(loop, pool, metrics);
+//   const auto calls = store_calls::make(connectivity, callback);
+//   calls->send(store, request);  // callback(store.id(), reply)
 #pragma once
 
 #include <functional>
@@ -26,24 +26,23 @@
 
 namespace trayrock {
 
-// A store that does not answer a call within this time is asked again.
-constexpr milliseconds store_call_limit{600};
+constexpr milliseconds store_call_timeout{600};
 
-// Ways around a store that cannot be reached directly.
+// Relays for calls to a store that cannot be reached directly.
 struct relay_source {
   std::function<std::string()> pick;  // address of a relay; empty: none
   std::function<void(const std::string&, relay_failure)> failed;
   std::function<void(const std::string&)> passed_on;
-  // A store that has left calls unanswered for this long may be out of reach,
-  // and is asked by a relay as well. One that is only slow answers somebody;
-  // asking it twice would make it slower. Answers take 2 to 10 ms.
+  // A store that has not replied to any call for this long may be unreachable,
+  // and is called through a relay as well. A store that is only slow still
+  // replies to some calls; calling it twice would make it slower.
   milliseconds silence{350};
 };
 
-// What a client of the record stores shares among its operations.
-struct store_reach {
-  store_reach(event_loop& loop_in, rpc_pool& pool_in,
-              metrics_registry& metrics_in)
+// State that all operations of a client share.
+struct store_connectivity {
+  store_connectivity(event_loop& loop_in, rpc_pool& pool_in,
+                     metrics_registry& metrics_in)
       : loop(loop_in), pool(pool_in), metrics(metrics_in) {}
 
   event_loop& loop;
@@ -51,58 +50,58 @@
   metrics_registry& metrics;
   relay_source relays;
   store_paths paths;
-  isolation_detector contact;
+  isolation_detector isolation;
 
-  // True while direct calls to the store stay unanswered.
+  // True while direct calls to the store get no reply.
   bool is_silent(const std::string& store) const;
 
-  // A store answered, directly or by a relay; a change of the way is logged.
-  void note_answer(const std::string& store, bool relayed);
+  // Records a reply of a store, direct or relayed; logs a change between them.
+  void record_reply(const std::string& store, bool relayed);
 };
 
 class store_calls : public std::enable_shared_from_this<store_calls> {
  public:
-  using answer_callback = std::function<void(const std::string& store,
-                                             result<records::WriteReply>)>;
+  using reply_callback = std::function<void(const std::string& store,
+                                            result<records::WriteReply>)>;
 
-  // `reach` outlives the calls. Calls end silently with the object.
-  static std::shared_ptr<store_calls> make(store_reach& reach,
-                                           answer_callback answered);
+  // `connectivity` must outlive the calls. Destroying the object cancels all
+  // calls without a callback.
+  static std::shared_ptr<store_calls> make(store_connectivity& connectivity,
+                                           reply_callback on_reply);
 
-  // Asks a store; an earlier call to it is dropped.
-  void ask(const records::Store& to, const records::WriteRequest& asked);
+  // Sends a request to a store; cancels an earlier call to it.
+  void send(const records::Store& to, const records::WriteRequest& request);
 
-  // Sends what nobody waits for: the answer is not handed on.
-  void copy(const records::Store& to, const records::WriteRequest& copied);
+  // Sends a request whose reply is ignored.
+  void copy(const records::Store& to, const records::WriteRequest& request);
 
-  // Drops all calls.
-  void drop_all();
+  void cancel_all();
 
-  // The operation has its result: calls under way go on to their stores, but
-  // no further way is tried for them.
-  void end();
+  // The operation is complete: pending calls continue, but are no longer sent
+  // through relays.
+  void finish();
 
  private:
-  store_calls(store_reach& reach, answer_callback answered)
-      : reach_(reach), answered_(std::move(answered)) {}
-
-  void watch_silence(const records::Store& to,
-                     const records::WriteRequest& asked);
-  void direct_answered(const records::Store& to,
-                       const records::WriteRequest& asked,
-                       result<records::WriteReply> answer);
-  bool ask_by_relay(const records::Store& to,
-                    const records::WriteRequest& asked);
-  void relay_answered(const std::string& id, const std::string& via,
-                      result<records::WriteReply> answer);
-
-  store_reach& reach_;
-  answer_callback answered_;
-  bool ended_ = false;
-  // By the store's id.
+  store_calls(store_connectivity& connectivity, reply_callback on_reply)
+      : connectivity_(connectivity), on_reply_(std::move(on_reply)) {}
+
+  void schedule_silence_check(const records::Store& to,
+                              const records::WriteRequest& request);
+  void on_direct_reply(const records::Store& to,
+                       const records::WriteRequest& request,
+                       result<records::WriteReply> reply);
+  bool send_by_relay(const records::Store& to,
+                     const records::WriteRequest& request);
+  void on_relay_reply(const std::string& id, const std::string& via,
+                      result<records::WriteReply> reply);
+
+  store_connectivity& connectivity_;
+  reply_callback on_reply_;
+  bool finished_ = false;
+  // All by the store's id.
   std::map<std::string, rpc_call> direct_;
   std::map<std::string, rpc_call> relayed_;
-  std::map<std::string, timer> patience_;
+  std::map<std::string, timer> silence_timers_;
 };
 
 }  // namespace trayrock
--- a/include/trayrock/internal/records/store_paths.h
+++ b/include/trayrock/internal/records/store_paths.h
@@ -1,14 +1,14 @@
-// How a client of the record stores reaches each of them: directly, by a
-// relay, or not at present.
+// Tracks how a client reaches each record store: directly, through a relay, or
+// not at all.
 //
-// No I/O; the caller gives the time. A store is silent when a direct call has
-// gone without any direct answer of that store for a while; one that is only
-// slow answers somebody.
+// No I/O; the caller passes the time. A store is silent if it has not replied
+// to any direct call for a timeout; a store that is only slow still replies to
+// some calls.
 //
 // Example:
 //   store_paths paths;
-//   paths.asked("store-1", now);
-//   paths.silent("store-1", now + 400, milliseconds(350));  // true
+//   paths.on_request_sent("store-1", now);
+//   paths.is_silent("store-1", now + 400, milliseconds(350));  // true
 #pragma once
 
 #include <chrono>
@@ -20,27 +20,27 @@
 
 class store_paths {
  public:
-  // A direct call begins.
-  void asked(const std::string& store, std::uint64_t now_ms);
+  // A direct call was sent.
+  void on_request_sent(const std::string& store, std::uint64_t now_ms);
 
-  // A direct call was answered. True if the store was reached by relays only
-  // before.
-  bool answered(const std::string& store);
+  // A direct call got a reply. Returns true if the store was reachable only
+  // through relays before.
+  bool on_reply(const std::string& store);
 
-  // A relay's call was answered: calls go by relays for a spell. True if the
-  // store was reached directly before.
-  bool answered_by_relay(const std::string& store, std::uint64_t now_ms);
+  // A relayed call got a reply, so calls use relays for a limited time. Returns
+  // true if the store was reached directly before.
+  bool on_relayed_reply(const std::string& store, std::uint64_t now_ms);
 
-  // True when the store has left direct calls unanswered for `longest`.
-  bool silent(const std::string& store, std::uint64_t now_ms,
-              std::chrono::milliseconds longest) const;
+  // True if the store has not replied to direct calls for `timeout`.
+  bool is_silent(const std::string& store, std::uint64_t now_ms,
+                 std::chrono::milliseconds timeout) const;
 
-  // True while calls go by a relay at once.
-  bool by_relay(const std::string& store, std::uint64_t now_ms) const;
+  // True while calls are sent through a relay first.
+  bool uses_relay(const std::string& store, std::uint64_t now_ms) const;
 
  private:
   struct path {
-    std::uint64_t unanswered_since_ms = 0;  // 0: nothing is waited for
+    std::uint64_t unanswered_since_ms = 0;  // 0: no call is pending
     std::uint64_t relayed_until_ms = 0;
     bool relayed = false;
   };
--- a/src/records/chain_reading.cc
+++ b/src/records/chain_reader.cc
@@ -1,37 +1,37 @@
-#include "trayrock/internal/records/chain_reading.h"
+#include "trayrock/internal/records/chain_reader.h"
 
 #include "trayrock/internal/records/group_rules.h"
 
 namespace trayrock {
 
-void chain_reading::ask_anew() {
+void chain_reader::reset_replies() {
   missing_at_.clear();
   holders_.clear();
-  text_asked_at_.clear();
+  text_requested_from_.clear();
 }
 
-const records::Store* chain_reading::next_holder(const records::Group& group) {
+const records::Store* chain_reader::next_holder(const records::Group& group) {
   for (const std::string& id : holders_) {
     const records::Store* to = find_store(group.voters(), id);
-    if (to != nullptr && id != text_asked_at_) {
+    if (to != nullptr && id != text_requested_from_) {
       holders_.erase(to->id());
       return to;
     }
   }
-  text_asked_at_.clear();
+  text_requested_from_.clear();
   return nullptr;
 }
 
-bool chain_reading::take(const std::string& voter,
-                         const records::WriteReply& reply) {
-  if (!open() || reply.chain_of() != wanted_) {
+bool chain_reader::add_reply(const std::string& voter,
+                             const records::WriteReply& reply) {
+  if (!pending() || reply.chain_of() != wanted_) {
     return false;
   }
-  if (awaits_text_of(voter)) {
-    give_up_text();
+  if (awaits_text_from(voter)) {
+    cancel_text_request();
   }
   if (reply.chain() == records::CHAIN_MISSING) {
-    // A store that is catching up can not say what there is not.
+    // A store that is catching up cannot confirm that a turn is missing.
     if (reply.outcome() == records::OUTCOME_OK) {
       missing_at_.insert(voter);
     }
@@ -41,10 +41,10 @@
     holders_.insert(voter);
     return false;
   }
-  return take_text_of(reply);
+  return add_text(reply);
 }
 
-bool chain_reading::take_text_of(const records::WriteReply& reply) {
+bool chain_reader::add_text(const records::WriteReply& reply) {
   if (text_.empty()) {
     endpoint_ = reply.chain_endpoint();
   }
@@ -53,14 +53,14 @@
     complete_ = true;
     return false;
   }
-  // Go on with the turns before the gap, which other voters hold.
+  // Continue with the turns before the gap, which other voters may store.
   wanted_ = reply.chain_gap();
   missing_at_.clear();
   holders_.clear();
   return true;
 }
 
-bool chain_reading::is_nowhere(const records::Group& group) const {
+bool chain_reader::is_missing(const records::Group& group) const {
   const auto voters = static_cast<std::size_t>(group.voters_size());
   return holders_.empty() && !awaits_text() &&
          missing_at_.size() >= read_quorum(voters, group.tolerated());
--- a/src/records/record_client.cc
+++ b/src/records/record_client.cc
@@ -4,41 +4,42 @@
 #include <vector>
 
 #include "trayrock/internal/log.h"
-#include "trayrock/internal/records/chain_reading.h"
+#include "trayrock/internal/records/chain_reader.h"
 #include "trayrock/internal/records/group_rules.h"
 
 namespace trayrock {
 namespace {
 
-// Before a voter that gave no usable answer is asked again.
-constexpr milliseconds retry_pause{60};
-// Before a voter is asked again at whose address another store sits. Its
-// successor is named by a newer group, with which all is asked anew.
-constexpr milliseconds lost_voter_pause{500};
-// A chain's text is asked for at a second voter when the first is this late.
-constexpr milliseconds text_patience{300};
+// Delay before a voter that gave no usable reply is queried again.
+constexpr milliseconds retry_delay{60};
+// Delay before a voter is retried when another store replied at its address.
+// A newer group names its successor and restarts the operation.
+constexpr milliseconds replaced_voter_retry_delay{500};
+// A chain's text is requested from a second voter when the first has not
+// replied within this time.
+constexpr milliseconds text_timeout{300};
 
 }  // namespace
 
-// One record or question on its way to the voters.
+// One write or query sent to the voters.
 struct record_client::operation : std::enable_shared_from_this<operation> {
   explicit operation(record_client& client_in) : client(client_in) {}
 
   record_client& client;
   records::Group group;
   records::WriteRequest request;
-  reserve_callback reserved;
-  done_callback kept;
+  reserve_callback on_reserved;
+  done_callback on_durable;
 
   std::set<std::string> acknowledged;
-  chain_reading chain;
+  chain_reader chain;
   bool done = false;
   program_usage usage;
   std::shared_ptr<store_calls> calls;
-  std::map<std::string, rpc_call> telling;  // stores of a newer group
+  std::map<std::string, rpc_call> group_updates;  // newer group, by store
   std::map<std::string, timer> retries;
   timer limit;
-  timer text_guard;
+  timer text_timer;
 
   bool needs_record() const { return request.has_record(); }
 
@@ -46,20 +47,20 @@
     group = client.group_;
     request.set_epoch(group.epoch());
     request.set_shrunk_epoch(group.shrunk_epoch());
-    calls->drop_all();
+    calls->cancel_all();
     retries.clear();
     acknowledged.clear();
-    chain.ask_anew();
+    chain.reset_replies();
     if (group.voters().empty()) {
-      return;  // begun once a group is known
+      return;  // adopt() restarts the operation once a group is known
     }
-    ask_voters();
+    query_voters();
     for (const records::Store& each : group.learners()) {
       copy_to_learner(each);
     }
   }
 
-  void ask_voters() {
+  void query_voters() {
     const std::string nearest = nearest_voter();
     for (const records::Store& each : group.voters()) {
       send(each, chain.needed() && each.id() == nearest);
@@ -76,16 +77,16 @@
   }
 
   void send(const records::Store& to, bool with_text) {
-    records::WriteRequest asked = request;
-    asked.set_store(to.id());
-    asked.set_chain_of(chain.wanted());
-    asked.set_send_chain(with_text);
+    records::WriteRequest sent = request;
+    sent.set_store(to.id());
+    sent.set_chain_of(chain.wanted());
+    sent.set_send_chain(with_text);
     if (with_text) {
-      chain.asked_text(to.id());
-      text_guard =
-          client.reach_.loop.after(text_patience, [this] { ask_text(); });
+      chain.on_text_requested(to.id());
+      text_timer = client.connectivity_.loop.after(
+          text_timeout, [this] { request_text_from_next(); });
     }
-    calls->ask(to, asked);
+    calls->send(to, sent);
   }
 
   void copy_to_learner(const records::Store& to) {
@@ -97,28 +98,28 @@
     calls->copy(to, copy);
   }
 
-  void retry(const std::string& id, milliseconds pause = retry_pause) {
+  void retry(const std::string& id, milliseconds delay = retry_delay) {
     if (done) {
       return;
     }
     const std::weak_ptr<operation> weak = weak_from_this();
-    retries[id] = client.reach_.loop.after(pause, [weak, id] {
-      const auto held = weak.lock();
+    retries[id] = client.connectivity_.loop.after(delay, [weak, id] {
+      const auto self = weak.lock();
       const records::Store* to =
-          held == nullptr ? nullptr : find_store(held->group.voters(), id);
-      if (to != nullptr && !held->done) {
-        held->send(*to, held->chain.awaits_text_of(id));
+          self == nullptr ? nullptr : find_store(self->group.voters(), id);
+      if (to != nullptr && !self->done) {
+        self->send(*to, self->chain.awaits_text_from(id));
       }
     });
   }
 
-  void answered(const std::string& id, result<records::WriteReply> answer) {
-    if (!answer) {
-      leave_for_text(id);
+  void on_reply(const std::string& id, result<records::WriteReply> received) {
+    if (!received) {
+      request_text_elsewhere(id);
       retry(id);
       return;
     }
-    const records::WriteReply& reply = answer.value();
+    const records::WriteReply& reply = received.value();
     if (reply.group().epoch() > client.group_.epoch()) {
       client.adopt(reply.group());
     }
@@ -130,73 +131,75 @@
     }
     switch (reply.outcome()) {
       case records::OUTCOME_OK:
-        take(id, reply);
-        take_chain(id, reply);
+        add_acknowledgement(id, reply);
+        add_chain_reply(id, reply);
         break;
       case records::OUTCOME_CATCHING_UP:
-        take_chain(id, reply);
-        tell_of_group(id, reply);
+        add_chain_reply(id, reply);
+        send_group(id, reply);
         retry(id);
         break;
       case records::OUTCOME_WRONG_STORE:
-        leave_for_text(id);
-        retry(id, lost_voter_pause);
+        request_text_elsewhere(id);
+        retry(id, replaced_voter_retry_delay);
         break;
       case records::OUTCOME_STALE_EPOCH:
-        leave_for_text(id);
+        request_text_elsewhere(id);
         retry(id);
         break;
       default:
-        client.reach_.metrics.add("record_store_errors_total");
-        leave_for_text(id);
+        client.connectivity_.metrics.add("record_store_errors_total");
+        request_text_elsewhere(id);
         retry(id);
         break;
     }
-    settle();
+    finish_if_complete();
   }
 
-  // A store that is cut off from the platform hears of the group from here.
-  void tell_of_group(const std::string& id, const records::WriteReply& reply) {
+  // Sends the group to a store that cannot reach the platform.
+  void send_group(const std::string& id, const records::WriteReply& reply) {
     const records::Store* to = find_store(group.voters(), id);
-    const bool behind =
+    const bool outdated =
         reply.has_group() && reply.group().epoch() < group.epoch();
-    if (to == nullptr || !behind || telling[id].running()) {
+    if (to == nullptr || !outdated || group_updates[id].running()) {
       return;
     }
     records::FenceRequest newer;
     *newer.mutable_group() = group;
-    telling[id] = client.reach_.pool.ask<records::FenceReply>(
-        to->address(), "Fence", newer, store_call_limit,
+    group_updates[id] = client.connectivity_.pool.ask<records::FenceReply>(
+        to->address(), "Fence", newer, store_call_timeout,
         [](const result<records::FenceReply>&) {
-          // The next answer to a write shows whether it was taken.
+          // The next reply to a write shows whether the group was adopted.
         });
   }
 
-  void take(const std::string& id, const records::WriteReply& reply) {
+  void add_acknowledgement(const std::string& id,
+                           const records::WriteReply& reply) {
     acknowledged.insert(id);
     for (const records::Usage& each : reply.program()) {
       usage.add({each.attempt(), each.reserved(), each.settled(), each.used()});
     }
   }
 
-  void take_chain(const std::string& id, const records::WriteReply& reply) {
-    if (chain.take(id, reply)) {
-      ask_voters();
+  void add_chain_reply(const std::string& id,
+                       const records::WriteReply& reply) {
+    if (chain.add_reply(id, reply)) {
+      query_voters();
     }
   }
 
-  // A voter that gave no usable answer is not waited for with the text. Each
-  // of its retries would put the asking of another voter off.
-  void leave_for_text(const std::string& id) {
-    if (chain.awaits_text_of(id)) {
-      chain.give_up_text();
-      ask_text();
+  // Stops waiting for the text from a voter that gave no usable reply: each of
+  // its retries would delay the request to another voter.
+  void request_text_elsewhere(const std::string& id) {
+    if (chain.awaits_text_from(id)) {
+      chain.cancel_text_request();
+      request_text_from_next();
     }
   }
 
-  // Asks another voter that has the turn for its text.
-  void ask_text() {
-    if (done || !chain.open()) {
+  // Requests the text from another voter that stores the turn.
+  void request_text_from_next() {
+    if (done || !chain.pending()) {
       return;
     }
     if (const records::Store* to = chain.next_holder(group)) {
@@ -204,34 +207,34 @@
     }
   }
 
-  bool chain_settled() {
-    if (!chain.open()) {
+  bool is_chain_resolved() {
+    if (!chain.pending()) {
       return true;
     }
     if (!chain.awaits_text()) {
-      ask_text();
+      request_text_from_next();
     }
-    return chain.is_nowhere(group);
+    return chain.is_missing(group);
   }
 
-  void settle() {
+  void finish_if_complete() {
     const auto voters = static_cast<std::size_t>(group.voters_size());
     const bool written =
         !needs_record() ||
         acknowledged.size() >= write_quorum(voters, group.tolerated());
-    if (done || !written || !chain_settled()) {
+    if (done || !written || !is_chain_resolved()) {
       return;
     }
     finish({});
   }
 
-  reserved_turn whole_turn() {
+  reserved_turn make_reserved_turn() {
     reserved_turn made;
     made.usage = std::move(usage);
     made.chain_found = chain.complete();
     made.endpoint = chain.endpoint();
     if (made.chain_found) {
-      made.text = chain.take_text();
+      made.text = chain.release_text();
     }
     return made;
   }
@@ -242,35 +245,36 @@
     }
     done = true;
     limit.cancel();
-    text_guard.cancel();
-    calls->end();
+    text_timer.cancel();
+    calls->finish();
     retries.clear();
-    // The calls that are still under way reach their voters all the same.
-    lingering = client.reach_.loop.after(
-        store_call_limit, [this, keep = shared_from_this()]() mutable {
-          // Cancelling destroys this callback, so
-          // that it must not own the last reference
-          // then.
+    // Pending calls still reach their voters.
+    linger_timer = client.connectivity_.loop.after(
+        store_call_timeout, [this, keep = shared_from_this()]() mutable {
+          // Cancelling destroys this callback, which
+          // must not own the last reference then.
           const auto last = std::move(keep);
           client.running_.erase(last);
-          lingering.cancel();
+          linger_timer.cancel();
         });
-    if (reserved) {
-      auto tell = std::move(reserved);
-      failed ? tell(errc::history_unavailable) : tell(whole_turn());
+    if (on_reserved) {
+      auto callback = std::move(on_reserved);
+      failed ? callback(errc::history_unavailable)
+             : callback(make_reserved_turn());
     }
-    if (kept) {
-      auto tell = std::move(kept);
-      tell(failed);
+    if (on_durable) {
+      auto callback = std::move(on_durable);
+      callback(failed);
     }
   }
 
-  timer lingering;
+  timer linger_timer;
 };
 
 record_client::record_client(event_loop& loop, rpc_pool& pool,
                              std::string data_centre, metrics_registry& metrics)
-    : reach_(loop, pool, metrics), data_centre_(std::move(data_centre)) {}
+    : connectivity_(loop, pool, metrics),
+      data_centre_(std::move(data_centre)) {}
 
 record_client::~record_client() = default;
 
@@ -281,12 +285,12 @@
   }
   group_ = group;
   if (!newer) {
-    return;  // only the learners differ
+    return;  // only the learners changed
   }
   log_info("group_adopted", {{"epoch", std::to_string(group.epoch())},
                              {"voters", std::to_string(group.voters_size())}});
-  const auto waiting = running_;
-  for (const auto& each : waiting) {
+  const auto running = running_;
+  for (const auto& each : running) {
     if (!each->done) {
       each->restart();
     }
@@ -298,15 +302,15 @@
   running_.insert(made);
   const std::weak_ptr<operation> weak = made;
   made->calls = store_calls::make(
-      reach_,
-      [weak](const std::string& store, result<records::WriteReply> answer) {
-        if (const auto held = weak.lock()) {
-          held->answered(store, std::move(answer));
+      connectivity_,
+      [weak](const std::string& store, result<records::WriteReply> reply) {
+        if (const auto self = weak.lock()) {
+          self->on_reply(store, std::move(reply));
         }
       });
-  made->limit = reach_.loop.after(limit, [weak] {
-    if (const auto held = weak.lock()) {
-      held->finish(errc::not_durable);
+  made->limit = connectivity_.loop.after(limit, [weak] {
+    if (const auto self = weak.lock()) {
+      self->finish(errc::not_durable);
     }
   });
   made->restart();
@@ -319,8 +323,8 @@
   if (!reservation.program().empty()) {
     *made->request.mutable_record()->mutable_reservation() = reservation;
   }
-  made->chain = chain_reading(previous);
-  made->reserved = std::move(done);
+  made->chain = chain_reader(previous);
+  made->on_reserved = std::move(done);
   begin(made, limit);
 }
 
@@ -328,7 +332,7 @@
                          done_callback done) {
   auto made = std::make_shared<operation>(*this);
   *made->request.mutable_record() = std::move(record);
-  made->kept = std::move(done);
+  made->on_durable = std::move(done);
   begin(made, limit);
 }
 
--- a/src/records/store_calls.cc
+++ b/src/records/store_calls.cc
@@ -5,152 +5,150 @@
 namespace trayrock {
 namespace {
 
-// How often a call that waits looks whether its store has gone silent.
-// Answers take 2 to 10 ms, a busy disk some tens.
-constexpr milliseconds direct_patience{120};
-// A relay that does not answer a call within this time is left for another.
-// A call by a relay takes 5 to 15 ms.
-constexpr milliseconds relay_limit{350};
+// How often a pending call checks whether its store is silent.
+constexpr milliseconds silence_check_period{120};
+constexpr milliseconds relay_timeout{350};
 
 }  // namespace
 
-bool store_reach::is_silent(const std::string& store) const {
-  return paths.silent(store, loop.now_ms(), relays.silence);
+bool store_connectivity::is_silent(const std::string& store) const {
+  return paths.is_silent(store, loop.now_ms(), relays.silence);
 }
 
-void store_reach::note_answer(const std::string& store, bool relayed) {
-  contact.on_reply();
+void store_connectivity::record_reply(const std::string& store, bool relayed) {
+  isolation.on_reply();
   if (relayed) {
-    if (paths.answered_by_relay(store, loop.now_ms())) {
+    if (paths.on_relayed_reply(store, loop.now_ms())) {
       log_warn("dependency_lost",
                {{"dependency", "store"}, {"store", store}, {"way", "relay"}});
     }
-  } else if (paths.answered(store)) {
+  } else if (paths.on_reply(store)) {
     log_info("dependency_regained",
              {{"dependency", "store"}, {"store", store}});
   }
 }
 
-std::shared_ptr<store_calls> store_calls::make(store_reach& reach,
-                                               answer_callback answered) {
+std::shared_ptr<store_calls> store_calls::make(store_connectivity& connectivity,
+                                               reply_callback on_reply) {
   return std::shared_ptr<store_calls>(
-      new store_calls(reach, std::move(answered)));
+      new store_calls(connectivity, std::move(on_reply)));
 }
 
-void store_calls::ask(const records::Store& to,
-                      const records::WriteRequest& asked) {
+void store_calls::send(const records::Store& to,
+                       const records::WriteRequest& request) {
   const std::string& id = to.id();
   relayed_.erase(id);
-  if (reach_.paths.by_relay(id, reach_.loop.now_ms()) &&
-      ask_by_relay(to, asked)) {
+  if (connectivity_.paths.uses_relay(id, connectivity_.loop.now_ms()) &&
+      send_by_relay(to, request)) {
     return;
   }
   const std::weak_ptr<store_calls> weak = weak_from_this();
-  direct_[id] = reach_.pool.ask<records::WriteReply>(
-      to.address(), "Write", asked, store_call_limit,
-      [weak, to, asked](result<records::WriteReply> answer) {
-        if (const auto held = weak.lock()) {
-          held->direct_answered(to, asked, std::move(answer));
+  direct_[id] = connectivity_.pool.ask<records::WriteReply>(
+      to.address(), "Write", request, store_call_timeout,
+      [weak, to, request](result<records::WriteReply> reply) {
+        if (const auto self = weak.lock()) {
+          self->on_direct_reply(to, request, std::move(reply));
         }
       });
-  reach_.paths.asked(id, reach_.loop.now_ms());
-  reach_.contact.on_request_sent(reach_.loop.now_ms());
-  if (reach_.relays.pick) {
-    watch_silence(to, asked);
+  connectivity_.paths.on_request_sent(id, connectivity_.loop.now_ms());
+  connectivity_.isolation.on_request_sent(connectivity_.loop.now_ms());
+  if (connectivity_.relays.pick) {
+    schedule_silence_check(to, request);
   }
 }
 
-void store_calls::watch_silence(const records::Store& to,
-                                const records::WriteRequest& asked) {
+void store_calls::schedule_silence_check(const records::Store& to,
+                                         const records::WriteRequest& request) {
   const std::weak_ptr<store_calls> weak = weak_from_this();
-  patience_[to.id()] = reach_.loop.after(direct_patience, [weak, to, asked] {
-    const auto held = weak.lock();
-    if (held == nullptr || held->ended_) {
-      return;
-    }
-    if (!held->reach_.is_silent(to.id())) {
-      held->watch_silence(to, asked);
-    } else {
-      held->ask_by_relay(to, asked);
-    }
-  });
+  silence_timers_[to.id()] =
+      connectivity_.loop.after(silence_check_period, [weak, to, request] {
+        const auto self = weak.lock();
+        if (self == nullptr || self->finished_) {
+          return;
+        }
+        if (!self->connectivity_.is_silent(to.id())) {
+          self->schedule_silence_check(to, request);
+        } else {
+          self->send_by_relay(to, request);
+        }
+      });
 }
 
-void store_calls::direct_answered(const records::Store& to,
-                                  const records::WriteRequest& asked,
-                                  result<records::WriteReply> answer) {
+void store_calls::on_direct_reply(const records::Store& to,
+                                  const records::WriteRequest& request,
+                                  result<records::WriteReply> reply) {
   const std::string& id = to.id();
-  patience_.erase(id);
-  if (answer) {
-    reach_.note_answer(id, false);
+  silence_timers_.erase(id);
+  if (reply) {
+    connectivity_.record_reply(id, false);
   } else if (relayed_.contains(id) ||
-             (reach_.is_silent(id) && ask_by_relay(to, asked))) {
-    return;  // the relay's answer decides
+             (connectivity_.is_silent(id) && send_by_relay(to, request))) {
+    return;  // the relay's reply is final
   }
-  answered_(id, std::move(answer));
+  on_reply_(id, std::move(reply));
 }
 
-// The call goes by another gateway, which may reach the store.
-bool store_calls::ask_by_relay(const records::Store& to,
-                               const records::WriteRequest& asked) {
-  const relay_source& relays = reach_.relays;
+// Sends the call through another gateway, which may reach the store.
+bool store_calls::send_by_relay(const records::Store& to,
+                                const records::WriteRequest& request) {
+  const relay_source& relays = connectivity_.relays;
   const std::string via = relays.pick ? relays.pick() : "";
-  if (ended_ || via.empty()) {
+  if (finished_ || via.empty()) {
     return false;
   }
-  records::RelayRequest request;
-  request.set_address(to.address());
-  *request.mutable_write() = asked;
-  reach_.metrics.add("relayed_record_calls_total");
+  records::RelayRequest relayed;
+  relayed.set_address(to.address());
+  *relayed.mutable_write() = request;
+  connectivity_.metrics.add("relayed_record_calls_total");
   const std::weak_ptr<store_calls> weak = weak_from_this();
-  relayed_[to.id()] = reach_.pool.ask<records::WriteReply>(
-      via, "Relay", request, relay_limit,
-      [weak, id = to.id(), via](result<records::WriteReply> answer) {
-        if (const auto held = weak.lock()) {
-          held->relay_answered(id, via, std::move(answer));
+  relayed_[to.id()] = connectivity_.pool.ask<records::WriteReply>(
+      via, "Relay", relayed, relay_timeout,
+      [weak, id = to.id(), via](result<records::WriteReply> reply) {
+        if (const auto self = weak.lock()) {
+          self->on_relay_reply(id, via, std::move(reply));
         }
       });
   return true;
 }
 
-void store_calls::relay_answered(const std::string& id, const std::string& via,
-                                 result<records::WriteReply> answer) {
-  const relay_source& relays = reach_.relays;
-  if (answer) {
-    reach_.note_answer(id, true);
+void store_calls::on_relay_reply(const std::string& id, const std::string& via,
+                                 result<records::WriteReply> reply) {
+  const relay_source& relays = connectivity_.relays;
+  if (reply) {
+    connectivity_.record_reply(id, true);
     if (relays.passed_on) {
       relays.passed_on(via);
     }
   } else {
-    // An empty answer says that the relay does not reach the store.
-    const bool relay_answered = answer.error() == errc::wire_garbled;
-    if (relay_answered) {
-      reach_.contact.on_reply();
+    // An empty reply means that the relay cannot reach the store.
+    const bool relay_replied = reply.error() == errc::wire_garbled;
+    if (relay_replied) {
+      connectivity_.isolation.on_reply();
     }
-    relays.failed(via, relay_answered ? relay_failure::store_unreachable
-                                      : relay_failure::no_reply);
+    relays.failed(via, relay_replied ? relay_failure::store_unreachable
+                                     : relay_failure::no_reply);
   }
-  answered_(id, std::move(answer));
+  on_reply_(id, std::move(reply));
 }
 
 void store_calls::copy(const records::Store& to,
-                       const records::WriteRequest& copied) {
-  direct_[to.id()] = reach_.pool.ask<records::WriteReply>(
-      to.address(), "Write", copied, store_call_limit,
+                       const records::WriteRequest& request) {
+  direct_[to.id()] = connectivity_.pool.ask<records::WriteReply>(
+      to.address(), "Write", request, store_call_timeout,
       [](const result<records::WriteReply>&) {
-        // A learner reads what it misses from the voters.
+        // A learner reads missing records from the voters.
       });
 }
 
-void store_calls::drop_all() {
+void store_calls::cancel_all() {
   direct_.clear();
   relayed_.clear();
-  patience_.clear();
+  silence_timers_.clear();
 }
 
-void store_calls::end() {
-  ended_ = true;
-  patience_.clear();
+void store_calls::finish() {
+  finished_ = true;
+  silence_timers_.clear();
 }
 
 }  // namespace trayrock
