--- a/include/trayrock/internal/records/permit_server.h
+++ b/include/trayrock/internal/records/permit_server.h
@@ -1,13 +1,13 @@
-// Gives out permits of workspaces whose rate is limited, and keeps on the disk
-// what it gave (decide/permit_limiter.h).
+// Grants permits for rate-limited workspaces and stores the granted counts on
+// disk (decide/permit_limiter.h).
 //
-// A permit is answered at once as long as few of its workspace are not on the
-// disk yet; beyond that it waits for the disk, so that a loss of power takes no
-// more than those few out of the store's memory. Of each workspace one write is
-// under way at a time and brings all that was given until then.
+// A permit is sent at once while its workspace has few unsynced permits; beyond
+// that, the reply waits for the disk, which bounds what a power loss can make
+// the store forget. Each workspace has at most one write in progress, which
+// covers all permits granted until it starts.
 //
 // Example:
-//   permit_server permits(loop, store, metrics, terms);
+//   permit_server permits(loop, metrics, terms, store);
 //   server.on_permits([&](const records::GivenPermits& read) {
 //     permits.restore(read);
 //   });
@@ -29,59 +29,60 @@
 
 namespace trayrock {
 
-// What the permit server needs of its store.
+// What the permit server uses of its store.
 struct permit_store {
   std::function<const records::StoreState&()> state;
-  // Makes what was given to a workspace durable.
+  // Makes the permits granted to a workspace durable.
   std::function<void(const records::GivenPermits&,
                      std::function<void(std::error_code)>)>
-      keep;
-  std::function<void(const std::vector<std::string>& workspaces)> drop;
+      write;
+  std::function<void(const std::vector<std::string>& workspaces)> erase;
 };
 
 class permit_server {
  public:
-  // All that is passed in by reference outlives the object.
+  // All references must outlive the object.
   permit_server(event_loop& loop, metrics_registry& metrics,
                 const limit_terms& terms, permit_store store);
   permit_server(const permit_server&) = delete;
   permit_server& operator=(const permit_server&) = delete;
 
-  // What the disk holds of a workspace; before serve().
+  // Restores a workspace's permits from disk; must be called before serve().
   void restore(const records::GivenPermits& read);
 
   void serve(rpc_server& server);
 
-  // The store has heard of another group.
+  // The store has adopted another group.
   void group_changed();
 
  private:
   struct waiting_reply {
-    records::PermitReply answer;
+    records::PermitReply message;
     rpc_reply_ptr reply;
   };
-  // The permits of one workspace on their way to the disk.
-  struct keeping {
+  // Permits of one workspace that are not on disk yet.
+  struct pending_permits {
     bool writing = false;
-    std::uint64_t unsynced = 0;  // given, and not on the disk yet
-    std::uint64_t written = 0;   // of these, in the write that is under way
+    std::uint64_t unsynced = 0;  // granted, but not on disk yet
+    std::uint64_t written = 0;   // of these, in the write in progress
     std::vector<waiting_reply> waiting;
   };
 
-  void take(const records::PermitRequest& request, const rpc_reply_ptr& reply);
-  void judge(const records::PermitRequest& request,
-             records::PermitReply& answer);
-  void keep(const std::string& workspace);
-  void kept(const std::string& workspace, std::error_code failed);
-  void tidy();
+  void handle_permit(const records::PermitRequest& request,
+                     const rpc_reply_ptr& reply);
+  void decide(const records::PermitRequest& request,
+              records::PermitReply& message);
+  void write(const std::string& workspace);
+  void on_written(const std::string& workspace, std::error_code failed);
+  void drop_unused();
 
   event_loop& loop_;
   metrics_registry& metrics_;
-  permit_limiter book_;
+  permit_limiter limiter_;
   permit_store store_;
-  std::map<std::string, keeping> keeping_;
+  std::map<std::string, pending_permits> pending_;
   bool disk_failed_ = false;
-  timer tidying_;
+  timer cleanup_timer_;
 };
 
 }  // namespace trayrock
--- a/src/records/permit_server.cc
+++ b/src/records/permit_server.cc
@@ -6,7 +6,7 @@
 namespace trayrock {
 namespace {
 
-constexpr milliseconds tidy_period{5000};
+constexpr milliseconds cleanup_period{5000};
 
 std::vector<std::string> ids_of_voters(const records::Group& group) {
   std::vector<std::string> made;
@@ -16,7 +16,7 @@
   return made;
 }
 
-// Every field of a peer's message may be anything.
+// A peer's message may hold any value in any field.
 bool is_limit(const records::PermitRequest& request) {
   return !request.workspace().empty() && request.per_second() > 0 &&
          request.burst() >= 0;
@@ -26,143 +26,153 @@
 
 permit_server::permit_server(event_loop& loop, metrics_registry& metrics,
                              const limit_terms& terms, permit_store store)
-    : loop_(loop), metrics_(metrics), book_(terms), store_(std::move(store)) {}
+    : loop_(loop),
+      metrics_(metrics),
+      limiter_(terms),
+      store_(std::move(store)) {}
 
 void permit_server::restore(const records::GivenPermits& read) {
-  book_.restore(read.workspace(), {read.counts().begin(), read.counts().end()},
-                loop_.now_ms());
+  limiter_.restore(read.workspace(),
+                   {read.counts().begin(), read.counts().end()},
+                   loop_.now_ms());
 }
 
 void permit_server::serve(rpc_server& server) {
-  book_.begin(ids_of_voters(store_.state().group()), store_.state().id());
+  limiter_.begin(ids_of_voters(store_.state().group()), store_.state().id());
   server.handle_typed<records::PermitRequest>(
-      "Permit", [this](records::PermitRequest& request,
-                       const rpc_reply_ptr& reply) { take(request, reply); });
-  tidying_ = loop_.every(tidy_period, [this] { tidy(); });
+      "Permit",
+      [this](records::PermitRequest& request, const rpc_reply_ptr& reply) {
+        handle_permit(request, reply);
+      });
+  cleanup_timer_ = loop_.every(cleanup_period, [this] { drop_unused(); });
 }
 
 void permit_server::group_changed() {
   const records::Group& group = store_.state().group();
   const bool first = group.previous_voters().empty();
-  if (first) {  // nobody gave anything before
-    book_.begin(ids_of_voters(group), store_.state().id());
+  if (first) {  // no permits were granted before
+    limiter_.begin(ids_of_voters(group), store_.state().id());
   } else {
-    book_.set_stores(ids_of_voters(group), store_.state().id(), loop_.now_ms());
+    limiter_.set_stores(ids_of_voters(group), store_.state().id(),
+                        loop_.now_ms());
   }
 }
 
-void permit_server::take(const records::PermitRequest& request,
-                         const rpc_reply_ptr& reply) {
-  records::PermitReply answer;
-  judge(request, answer);
+void permit_server::handle_permit(const records::PermitRequest& request,
+                                  const rpc_reply_ptr& reply) {
+  records::PermitReply message;
+  decide(request, message);
   metrics_.add("permits_total",
-               {{"outcome", answer.given() ? "given"
-                            : answer.outcome() == records::OUTCOME_OK
+               {{"outcome", message.given() ? "given"
+                            : message.outcome() == records::OUTCOME_OK
                                 ? "refused"
                                 : "not_answered"}});
-  if (!answer.given()) {
-    reply->send(answer);
+  if (!message.given()) {
+    reply->send(message);
     reply->finish();
     return;
   }
-  keeping& held = keeping_[request.workspace()];
-  ++held.unsynced;
-  if (held.unsynced > book_.max_unsynced(request.workspace())) {
-    held.waiting.push_back({answer, reply});
+  pending_permits& pending = pending_[request.workspace()];
+  ++pending.unsynced;
+  if (pending.unsynced > limiter_.max_unsynced(request.workspace())) {
+    pending.waiting.push_back({message, reply});
   } else {
-    reply->send(answer);
+    reply->send(message);
     reply->finish();
   }
-  keep(request.workspace());
+  write(request.workspace());
 }
 
-void permit_server::judge(const records::PermitRequest& request,
-                          records::PermitReply& answer) {
+void permit_server::decide(const records::PermitRequest& request,
+                           records::PermitReply& message) {
   const records::StoreState& state = store_.state();
   if (disk_failed_) {
-    answer.set_outcome(records::OUTCOME_DISK_FAILED);
+    message.set_outcome(records::OUTCOME_DISK_FAILED);
     return;
   }
   if (request.store() != state.id() || !is_limit(request)) {
-    answer.set_outcome(records::OUTCOME_WRONG_STORE);
+    message.set_outcome(records::OUTCOME_WRONG_STORE);
     return;
   }
   if (request.epoch() < state.group().epoch()) {
-    answer.set_outcome(records::OUTCOME_STALE_EPOCH);
-    *answer.mutable_group() = state.group();
+    message.set_outcome(records::OUTCOME_STALE_EPOCH);
+    *message.mutable_group() = state.group();
     return;
   }
   for (const std::uint64_t slot : request.given_back()) {
-    book_.give_back(request.workspace(), slot);
+    limiter_.give_back(request.workspace(), slot);
   }
-  const permit_verdict said = book_.acquire(
+  const permit_verdict said = limiter_.acquire(
       request.workspace(),
       {request.per_second(), request.burst(), request.configuration()},
       request.starts_program() ? permit_use::starts_program
                                : permit_use::regular,
       loop_.now_ms());
   if (const auto* given = std::get_if<permit_given>(&said)) {
-    answer.set_given(true);
-    answer.set_slot(given->slot);
+    message.set_given(true);
+    message.set_slot(given->slot);
   } else {
     const auto next = std::get<permit_refused>(said).next;
-    answer.set_next_ms(static_cast<std::uint32_t>(next.count()));
+    message.set_next_ms(static_cast<std::uint32_t>(next.count()));
   }
 }
 
-void permit_server::keep(const std::string& workspace) {
-  keeping& held = keeping_[workspace];
-  if (held.writing) {
+void permit_server::write(const std::string& workspace) {
+  pending_permits& pending = pending_[workspace];
+  if (pending.writing) {
     return;
   }
-  held.writing = true;
-  held.written = held.unsynced;
+  pending.writing = true;
+  pending.written = pending.unsynced;
   records::GivenPermits given;
   given.set_workspace(workspace);
-  for (const std::uint32_t each : book_.counts(workspace, loop_.now_ms())) {
+  for (const std::uint32_t each : limiter_.counts(workspace, loop_.now_ms())) {
     given.add_counts(each);
   }
-  store_.keep(given, [this, workspace](std::error_code failed) {
-    kept(workspace, failed);
+  store_.write(given, [this, workspace](std::error_code failed) {
+    on_written(workspace, failed);
   });
 }
 
-// Those that wait were given before the write that has ended, or after its
-// beginning: they wait for the next one then.
-void permit_server::kept(const std::string& workspace, std::error_code failed) {
-  keeping& held = keeping_[workspace];
-  held.writing = false;
+// Sends the replies of permits that this write covers. Permits granted after
+// the write started wait for the next one.
+void permit_server::on_written(const std::string& workspace,
+                               std::error_code failed) {
+  pending_permits& pending = pending_[workspace];
+  pending.writing = false;
   if (failed && !disk_failed_) {
     disk_failed_ = true;
     log_error("permits_not_kept", {{"cause", failed.message()}});
   }
-  held.unsynced -= held.written;
-  const std::size_t late =
-      disk_failed_ ? 0
-                   : std::min<std::size_t>(held.unsynced, held.waiting.size());
-  const auto ready = held.waiting.end() - static_cast<std::ptrdiff_t>(late);
-  for (auto each = held.waiting.begin(); each != ready; ++each) {
+  pending.unsynced -= pending.written;
+  const std::size_t still_waiting =
+      disk_failed_
+          ? 0
+          : std::min<std::size_t>(pending.unsynced, pending.waiting.size());
+  const auto ready =
+      pending.waiting.end() - static_cast<std::ptrdiff_t>(still_waiting);
+  for (auto each = pending.waiting.begin(); each != ready; ++each) {
     if (disk_failed_) {
-      each->answer.set_given(false);
-      each->answer.set_outcome(records::OUTCOME_DISK_FAILED);
+      each->message.set_given(false);
+      each->message.set_outcome(records::OUTCOME_DISK_FAILED);
     }
-    each->reply->send(each->answer);
+    each->reply->send(each->message);
     each->reply->finish();
   }
-  held.waiting.erase(held.waiting.begin(), ready);
-  if (held.unsynced > 0 && !disk_failed_) {
-    keep(workspace);
+  pending.waiting.erase(pending.waiting.begin(), ready);
+  if (pending.unsynced > 0 && !disk_failed_) {
+    write(workspace);
   } else {
-    keeping_.erase(workspace);
+    pending_.erase(workspace);
   }
 }
 
-void permit_server::tidy() {
-  const std::vector<std::string> unused = book_.drop_unused(loop_.now_ms());
+void permit_server::drop_unused() {
+  const std::vector<std::string> unused = limiter_.drop_unused(loop_.now_ms());
   if (!unused.empty()) {
-    store_.drop(unused);
+    store_.erase(unused);
   }
-  metrics_.set("workspaces_limited", {}, static_cast<double>(book_.size()));
+  metrics_.set("workspaces_limited", {}, static_cast<double>(limiter_.size()));
 }
 
 }  // namespace trayrock
