--- a/include/trayrock/internal/records/record_id.h
+++ b/include/trayrock/internal/records/record_id.h
@@ -1,8 +1,7 @@
-// Short names of attempts and programs inside the record stores.
+// Fixed-size ids of attempts and programs inside the record stores.
 //
-// Clients name attempts and programs as they like. The stores keep a 128-bit
-// hash of each name, so that what they hold in memory stays small; the names
-// themselves are in the records on disk.
+// Clients choose the names of attempts and programs. The stores keep a 128-bit
+// hash of each name in memory; the names themselves are in the records on disk.
 //
 // Example:
 //   const record_id id = id_of("attempt-1");
@@ -29,10 +28,10 @@
 
 record_id id_of(std::string_view name);
 
-// The sixteen bytes of an id, as they travel between processes.
+// The 16 bytes of an id, as sent between processes.
 std::string bytes_of(const record_id& id);
 
-// The id of the sixteen bytes; all zero for anything else.
+// The id of these 16 bytes; all zero if the length differs.
 record_id id_from_bytes(std::string_view bytes);
 
 }  // namespace trayrock
--- a/src/records/record_book.cc
+++ b/src/records/record_book.cc
@@ -9,16 +9,14 @@
 constexpr char settlement_kind = 's';
 constexpr char turn_kind = 't';
 
-// Records are kept beyond the retention, since a program may come back at its
-// end and go on for a while, and since clocks of stores start at different
-// times.
+// Records outlive their retention by this, since a program may resume just
+// before its end, and since the clocks of stores start at different times.
 constexpr std::uint64_t expiry_margin_ms = 60000;
 constexpr std::uint64_t ms_per_second = 1000;
-// Longer chains are cut: 360 turns are the most that the capacity page reckons
-// with, and a damaged record must not make an endless one.
-constexpr std::size_t longest_chain = 4096;
+// Bounds a chain in case a damaged record forms a cycle.
+constexpr std::size_t max_chain_turns = 4096;
 
-// What names a record: its kind and its attempt.
+// Identifies a record.
 struct record_name {
   char kind = 0;
   record_id attempt;
@@ -59,7 +57,7 @@
 }
 
 bool record_book::add(const records::Record& record, std::uint64_t now_ms) {
-  if (!note(record, now_ms)) {
+  if (!insert(record, now_ms)) {
     return false;
   }
   pending_.emplace(record_key(record), record);
@@ -68,11 +66,11 @@
 
 bool record_book::add_durable(const records::Record& record,
                               std::uint64_t now_ms) {
-  return note(record, now_ms);
+  return insert(record, now_ms);
 }
 
-// Everything but the record's text.
-bool record_book::note(const records::Record& record, std::uint64_t now_ms) {
+// Adds everything except the record's text.
+bool record_book::insert(const records::Record& record, std::uint64_t now_ms) {
   const record_name name = name_of(record);
   if (name.kind == 0) {
     return false;
@@ -91,27 +89,28 @@
   if (record.has_reservation()) {
     const records::Reservation& made = record.reservation();
     state.reserved = static_cast<std::uint32_t>(made.tokens());
-    note_program(made.program(), id_of(made.attempt()), state);
+    add_to_program(made.program(), id_of(made.attempt()), state);
   } else if (record.has_settlement()) {
     const records::Settlement& made = record.settlement();
     state.settled = true;
     state.used =
         std::max(state.used, static_cast<std::uint32_t>(made.tokens()));
-    note_program(made.program(), id_of(made.attempt()), state);
+    add_to_program(made.program(), id_of(made.attempt()), state);
   } else {
     const records::Turn& made = record.turn();
-    longest_retention_s_ = std::max(longest_retention_s_, made.retention_s());
+    max_retention_s_ = std::max(max_retention_s_, made.retention_s());
     if (!made.program().empty()) {
       state.settled = true;
       state.used =
           std::max(state.used, static_cast<std::uint32_t>(made.tokens()));
-      note_program(made.program(), id_of(made.attempt()), state);
+      add_to_program(made.program(), id_of(made.attempt()), state);
     }
   }
 }
 
-void record_book::note_program(const std::string& program,
-                               const record_id& attempt, attempt_state& state) {
+void record_book::add_to_program(const std::string& program,
+                                 const record_id& attempt,
+                                 attempt_state& state) {
   if (state.program != record_id{}) {
     return;
   }
@@ -130,9 +129,9 @@
 }
 
 std::optional<records::Record> record_book::find(const std::string& key) const {
-  const auto waiting = pending_.find(key);
-  if (waiting != pending_.end()) {
-    return waiting->second;
+  const auto pending = pending_.find(key);
+  if (pending != pending_.end()) {
+    return pending->second;
   }
   return has(key) ? read_disk_(key) : std::nullopt;
 }
@@ -141,14 +140,15 @@
   std::vector<records::Record> turns;
   turn_chain made;
   std::string next(attempt);
-  while (!next.empty() && turns.size() < longest_chain) {
-    std::optional<records::Record> held = find(key_of(turn_kind, id_of(next)));
-    if (!held || held->turn().attempt() != next) {
+  while (!next.empty() && turns.size() < max_chain_turns) {
+    std::optional<records::Record> record =
+        find(key_of(turn_kind, id_of(next)));
+    if (!record || record->turn().attempt() != next) {
       made.gap = next;
       break;
     }
-    next = held->turn().previous();
-    turns.push_back(std::move(*held));
+    next = record->turn().previous();
+    turns.push_back(std::move(*record));
   }
   made.found = !turns.empty();
   made.endpoint = made.found ? turns.front().turn().endpoint() : std::string();
@@ -160,11 +160,11 @@
 
 std::vector<turn_usage> record_book::usage(std::string_view program) const {
   std::vector<turn_usage> found;
-  const auto held = programs_.find(id_of(program));
-  if (held == programs_.end()) {
+  const auto known = programs_.find(id_of(program));
+  if (known == programs_.end()) {
     return found;
   }
-  for (const record_id& attempt : held->second) {
+  for (const record_id& attempt : known->second) {
     const auto state = attempts_.find(attempt);
     if (state != attempts_.end()) {
       found.push_back({bytes_of(attempt), state->second.reserved,
@@ -175,11 +175,12 @@
 }
 
 std::vector<record_book::numbered_key> record_book::after(
-    std::uint64_t position, std::size_t most) const {
+    std::uint64_t position, std::size_t max_count) const {
   std::vector<numbered_key> found;
   const std::uint64_t first =
       position < first_position_ ? 0 : position - first_position_ + 1;
-  for (std::uint64_t i = first; i < log_.size() && found.size() < most; ++i) {
+  for (std::uint64_t i = first; i < log_.size() && found.size() < max_count;
+       ++i) {
     const log_entry& each = log_[i];
     found.push_back({first_position_ + i, each.added_at_ms,
                      key_of(static_cast<char>(each.kind), each.attempt)});
@@ -188,24 +189,23 @@
 }
 
 std::vector<std::string> record_book::expire(std::uint64_t now_ms) {
-  const std::uint64_t kept_ms =
-      longest_retention_s_ * ms_per_second + expiry_margin_ms;
-  std::vector<std::string> gone;
-  while (longest_retention_s_ > 0 && !log_.empty() &&
-         log_.front().added_at_ms + kept_ms < now_ms) {
+  const std::uint64_t retention_ms =
+      max_retention_s_ * ms_per_second + expiry_margin_ms;
+  std::vector<std::string> expired;
+  while (max_retention_s_ > 0 && !log_.empty() &&
+         log_.front().added_at_ms + retention_ms < now_ms) {
     const log_entry oldest = log_.front();
     log_.pop_front();
     ++first_position_;
-    gone.push_back(key_of(static_cast<char>(oldest.kind), oldest.attempt));
-    pending_.erase(gone.back());
-    drop(oldest);
+    expired.push_back(key_of(static_cast<char>(oldest.kind), oldest.attempt));
+    pending_.erase(expired.back());
+    erase(oldest);
   }
-  return gone;
+  return expired;
 }
 
-// An attempt goes with the last of its records, a program with the last of
-// its attempts.
-void record_book::drop(const log_entry& entry) {
+// Removes an attempt with its last record, and a program with its last attempt.
+void record_book::erase(const log_entry& entry) {
   const auto found = attempts_.find(entry.attempt);
   if (found == attempts_.end()) {
     return;
