--- a/include/trayrock/internal/records/record_disk.h
+++ b/include/trayrock/internal/records/record_disk.h
@@ -1,10 +1,10 @@
-// A record store's disk: a log of segments, written by one thread in synced
-// batches.
+// Durable storage of a record store: a segment log that one thread writes in
+// synced batches.
 //
-// Writes that come while a batch is being synced form the next batch (group
-// commit). Callbacks come on the event loop once the batch is durable. A disk
-// that stalls holds up the callbacks and nothing else. After a failed write
-// nothing more is taken: what is on the disk then is not known.
+// Writes that arrive while a batch is being synced form the next batch (group
+// commit). Callbacks run on the event loop once the batch is durable; a stalled
+// disk delays only them. After a failed write all further writes fail, since
+// the content of the disk is unknown.
 //
 // Example:
 //   auto disk = record_disk::open(loop, "/data", visit);
@@ -25,12 +25,12 @@
 
 namespace trayrock {
 
-// What the disk has done since it was opened.
-struct disk_figures {
-  std::uint64_t bytes_taken = 0;    // keys and values
-  std::uint64_t bytes_written = 0;  // frames and heads of files
+// Totals since the disk was opened.
+struct disk_statistics {
+  std::uint64_t bytes_accepted = 0;  // keys and values
+  std::uint64_t bytes_written = 0;   // including frame headers
   std::uint64_t syncs = 0;
-  double longest_sync_ms = 0;
+  double max_sync_ms = 0;
   std::size_t segments = 0;
 };
 
@@ -38,8 +38,9 @@
  public:
   using done_callback = std::function<void(std::error_code)>;
 
-  // Reads the folder; `visit` sees each record in the order of writing. Errors:
-  // errc::disk_failed; errc::disk_format where files of another format lie.
+  // Reads the folder; calls `visit` for each record in the order of writing.
+  // Errors: errc::disk_failed; errc::disk_format if the folder has files of
+  // another format.
   static result<std::unique_ptr<record_disk>> open(
       event_loop& loop, const std::string& folder,
       const segment_log::visitor& visit);
@@ -48,17 +49,17 @@
   record_disk& operator=(const record_disk&) = delete;
   ~record_disk();
 
-  // The value of a key, if it is on the disk.
+  // The value of a key, if it is on disk.
   std::optional<std::string> read(const std::string& key) const;
 
-  // Makes the records durable, after all earlier ones. With none, calls back
-  // once the earlier ones are.
+  // Makes the records durable, after all earlier ones. Without records, calls
+  // back once the earlier ones are durable.
   void write(std::vector<disk_record> records, done_callback done);
 
-  // Erases without waiting.
+  // Erases the keys immediately, without syncing.
   void erase(const std::vector<std::string>& keys);
 
-  disk_figures figures() const;
+  disk_statistics statistics() const;
 
   struct impl;
 
--- a/include/trayrock/internal/records/record_server.h
+++ b/include/trayrock/internal/records/record_server.h
@@ -1,9 +1,9 @@
-// A record store's server: answers writes, pulls and fences from its book and
+// Server of a record store: handles writes, pulls and fences from its index and
 // its disk.
 //
-// A write is answered once it is on the disk. What the store may say depends
-// on its state: whether it is the disk that was meant, whether the epoch is
-// the newest, and whether it holds all that its epoch asks of it.
+// A write is acknowledged once it is on disk. The outcome depends on the
+// store's state: whether its id matches the request, whether the request's
+// epoch is current, and whether it stores all that its epoch requires.
 //
 // Example:
 //   record_server server(loop, rpc, metrics);
@@ -33,79 +33,83 @@
   record_server(const record_server&) = delete;
   record_server& operator=(const record_server&) = delete;
 
-  // Reads the folder's disk; one without an id gets a new one. Errors:
-  // errc::disk_failed, errc::disk_format.
+  // Loads the folder's records and state. Errors: errc::disk_failed,
+  // errc::disk_format.
   std::error_code open_disk(const std::string& folder);
 
-  // Registers the methods. A store answers nothing before its id is durable.
+  // Registers the methods; an empty disk gets a new id. Calls back once the id
+  // is durable.
   void start(std::function<void()> started);
 
   const records::StoreState& state() const { return state_; }
-  record_book& book() { return book_; }
+  record_book& index() { return index_; }
   std::uint64_t log() const { return log_; }
 
-  // Takes a newer group; calls back when that is on the disk.
+  // Adopts a group unless it is older; calls back once it is on disk.
   void adopt(const records::Group& group, std::function<void()> durable);
 
-  // Says that the store holds all that the group's epoch asks of it.
+  // Sets whether the store has all that the group's epoch requires.
   void set_counts(bool counts);
 
-  // Adds records of another store; calls back when they are on the disk.
-  void take(const records::PullReply& pulled, std::function<void()> durable);
+  // Adds records of another store; calls back once they are on disk.
+  void store_pulled(const records::PullReply& pulled,
+                    std::function<void()> durable);
 
-  // The boxes that are to be emptied, for stores that do not ask the platform.
+  // The boxes that are to be retired, sent to stores that do not watch the
+  // platform.
   void set_retiring(std::set<std::string> boxes) {
     retiring_ = std::move(boxes);
   }
 
-  // Told when a group with a newer epoch was heard of.
+  // Calls back when a group with a newer epoch is adopted.
   void on_group(std::function<void()> changed) {
-    changed_.push_back(std::move(changed));
+    group_observers_.push_back(std::move(changed));
   }
 
-  // Told of the permits that the disk holds, before open_disk() returns.
+  // Calls back for each workspace's permits on disk, before open_disk()
+  // returns.
   void on_permits(std::function<void(const records::GivenPermits&)> read) {
-    permits_read_ = std::move(read);
+    on_permits_ = std::move(read);
   }
 
-  // Permits of a workspace on the disk, in place of what was there; and away.
-  void keep_permits(const records::GivenPermits& given,
-                    std::function<void(std::error_code)> durable);
-  void drop_permits(std::span<const std::string> workspaces);
+  // Replaces or erases the permits of workspaces on disk.
+  void write_permits(const records::GivenPermits& given,
+                     std::function<void(std::error_code)> durable);
+  void erase_permits(std::span<const std::string> workspaces);
 
  private:
-  void take_from_disk(std::string_view key, std::string_view value);
-  void take_permits(std::string_view value);
+  void load_entry(std::string_view key, std::string_view value);
+  void load_permits(std::string_view value);
   std::optional<records::Record> read_record(const std::string& key) const;
-  void note_durable(std::span<const std::string> keys);
+  void mark_durable(std::span<const std::string> keys);
   void save_state(std::function<void()> durable);
   void write(const records::WriteRequest& request, const rpc_reply_ptr& reply);
-  void answer_write(const records::WriteRequest& request,
-                    records::Outcome outcome, const rpc_reply_ptr& reply);
+  void send_write_reply(const records::WriteRequest& request,
+                        records::Outcome outcome, const rpc_reply_ptr& reply);
   void add_chain(const records::WriteRequest& request,
-                 records::WriteReply& answer) const;
+                 records::WriteReply& message) const;
   void pull(const records::PullRequest& request, const rpc_reply_ptr& reply);
-  void add_records_behind(const records::PullRequest& request,
-                          records::PullReply& answer) const;
+  void add_records_after(const records::PullRequest& request,
+                         records::PullReply& message) const;
   void add_named_records(const records::PullRequest& request,
-                         records::PullReply& answer) const;
+                         records::PullReply& message) const;
   void fence(const records::FenceRequest& request, const rpc_reply_ptr& reply);
   void expire();
-  void show_figures();
+  void update_metrics();
 
   event_loop& loop_;
   rpc_server& server_;
   std::unique_ptr<record_disk> disk_;
   metrics_registry& metrics_;
-  record_book book_;
+  record_book index_;
   records::StoreState state_;
   std::uint64_t log_ = 0;
   bool disk_failed_ = false;
-  records::Record reading_;       // of the disk, at the start
-  std::uint64_t unreadable_ = 0;  // records that the disk held at the start
+  records::Record reading_;       // reused while the disk is loaded
+  std::uint64_t unreadable_ = 0;  // records found at the start
   std::set<std::string> retiring_;
-  std::vector<std::function<void()>> changed_;
-  std::function<void(const records::GivenPermits&)> permits_read_;
+  std::vector<std::function<void()>> group_observers_;
+  std::function<void(const records::GivenPermits&)> on_permits_;
   timer expiry_;
 };
 
--- a/include/trayrock/internal/records/segment_log.h
+++ b/include/trayrock/internal/records/segment_log.h
@@ -1,26 +1,22 @@
-// Records on a disk: files that are only appended to, and dropped whole.
+// Append-only log of records in segment files, with an index in memory.
 //
-// A record is written once. It is found by the place where it lies, which the
-// index in memory keeps; nothing is ever sorted, merged or written again, so
-// that what a write costs does not grow with what is held. All records of a
-// file expire at about the same time, and the file goes with the last of them.
+// Records are never sorted, merged or rewritten, so that the cost of a write
+// does not grow with the size of the log. All records of a file expire at about
+// the same time, and the file is removed with the last of them.
 //
-// 60,000 records in 30 s cost a store 0.98 s of processor time, and 1.26 s with
-// a library that sorts and merges; 95 in 100 were durable within 1.3 ms, and
-// within 3.2 ms (one run of each).
+// A file starts with a header, and each record has a checksum. Data that was
+// not synced before a power loss may be missing or torn; reading of the file
+// stops there, and nothing after that was acknowledged. Writing continues in a
+// new file.
 //
-// A file begins with a head, and each record has a checksum. What was not
-// synced when power was lost may be missing or torn; reading stops there, and
-// nothing behind it was acknowledged. Writing goes on in a new file.
-//
-// No thread of its own. append() and sync() are for one thread, all else is for
-// one other; a place is handed from the first to the second.
+// Not thread-safe: append() and sync() must be called from one thread and all
+// other methods from one other thread, to which the locations are passed.
 //
 // Example:
 //   auto log = segment_log::open(files, visit);
-//   auto places = log.value()->append(changes);
-//   if (places && !log.value()->sync()) log.value()->keep(changes, places);
-//   log.value()->read("t/a1");
+//   auto locations = log.value()->append(changes);
+//   if (locations && !log.value()->sync()) log.value()->add_to_index(changes,
+//   locations); log.value()->read("t/a1");
 #pragma once
 
 #include <cstdint>
@@ -40,14 +36,12 @@
 
 namespace trayrock {
 
-// One record as it goes to the disk.
 struct disk_record {
   std::string key;
   std::string value;
 };
 
-// Where a record lies.
-struct record_place {
+struct record_location {
   std::uint32_t segment = 0;  // the file's number
   std::uint32_t offset = 0;   // of its frame
 };
@@ -57,16 +51,15 @@
   using visitor =
       std::function<void(std::string_view key, std::string_view value)>;
 
-  // Of a record on the disk, beside its key and its value.
+  // Overhead of a record on disk, in addition to its key and value.
   static constexpr std::size_t frame_bytes = 12;
 
-  // A file takes records until it is larger than this.
+  // A new file is started once the current one has reached this size.
   static constexpr std::size_t segment_bytes = 4U << 20;
 
-  // Reads all that the files hold, in the order in which it was written; of a
-  // key that was written twice, the later record counts. `files` outlives the
-  // log. Errors: errc::disk_failed; errc::disk_format where files of another
-  // format lie.
+  // Reads all records in the order of writing; of a key that was written twice,
+  // the later record is indexed. `files` must outlive the log. Errors:
+  // errc::disk_failed; errc::disk_format if there are files of another format.
   static result<std::unique_ptr<segment_log>> open(disk_files& files,
                                                    const visitor& visit);
 
@@ -76,25 +69,26 @@
 
   // ---- The writing thread ---------------------------------------------------
 
-  // Writes records behind all others. The places count once they are kept.
-  // Errors: errc::disk_failed, after which nothing more may be written.
-  result<std::vector<record_place>> append(
+  // Appends records. They can be read once they are in the index. Returns the
+  // error of the failed call, after which nothing more may be written.
+  result<std::vector<record_location>> append(
       std::span<const disk_record> records);
 
-  // Makes all that was appended last through a loss of power.
+  // Makes all appended records durable.
   std::error_code sync();
 
   // ---- The other thread -----------------------------------------------------
 
-  // Takes places of durable records into the index.
-  void keep(std::span<const disk_record> records,
-            std::span<const record_place> places);
+  // Adds durable records to the index.
+  void add_to_index(std::span<const disk_record> records,
+                    std::span<const record_location> locations);
 
-  // The value of a key; nothing if it is not held, or cannot be read, which the
-  // log says.
+  // The value of a key; nothing if it is not in the index or cannot be read. A
+  // read failure is logged.
   std::optional<std::string> read(std::string_view key) const;
 
-  // Forgets records. A file that holds no others is removed.
+  // Removes records from the index, and files without records left, except the
+  // newest.
   void erase(std::span<const std::string> keys);
 
   std::size_t segments() const;
@@ -107,9 +101,9 @@
   std::error_code read_segments(const visitor& visit);
   std::error_code read_segment(std::uint32_t number, const std::string& name,
                                const visitor& visit);
-  std::error_code begin_segment();
-  void keep_one(std::string_view key, const record_place& place);
-  void release(const record_place& place);
+  std::error_code start_segment();
+  void index_record(std::string_view key, const record_location& location);
+  void release(const record_location& location);
   segment_ptr find(std::uint32_t number) const;
 
   disk_files& files_;
@@ -117,8 +111,8 @@
   std::uint32_t next_number_ = 1;     // likewise
   mutable std::mutex guard_;          // of `segments_`
   std::map<std::uint32_t, segment_ptr> segments_;
-  // By a hash of the key: the frame holds the key itself.
-  std::unordered_map<std::uint64_t, record_place> index_;
+  // By a hash of the key; the frame contains the key itself.
+  std::unordered_map<std::uint64_t, record_location> index_;
 };
 
 }  // namespace trayrock
--- a/include/trayrock/internal/records/store_membership_driver.h
+++ b/include/trayrock/internal/records/store_membership_driver.h
@@ -1,6 +1,6 @@
-// Carries out what decide/store_membership.h decides: changes the group on the
-// platform, joins it, and reports retirements. What is known of the other
-// stores comes from a store_reader.
+// Executes the decisions of decide/store_membership.h: changes the group on the
+// platform, joins it, and reports retirements. A store_reader provides the
+// state of the other stores.
 //
 // Example:
 //   store_membership_driver membership(loop, server, pool, registry, settings);
@@ -25,7 +25,7 @@
   std::uint32_t tolerated = 1;
   bool first_start = false;  // of the whole system: a group may be created
   bool keeps_learners_ready = true;
-  // Spare stores leave the watching of the platform to the voters.
+  // Spare stores do not watch the platform; the voters do.
   bool shares_watches = true;
 };
 
@@ -41,20 +41,20 @@
 
  private:
   void tick();
-  bool needs_others() const;
-  void share_watches(const membership_view& seen);
+  bool needs_peers() const;
+  void update_platform_watch(const membership_view& current);
   void create_group();
   void create_group_of(const std::vector<records::Store>& announced);
   void finish_joining();
   membership_view view();
   void act(const do_nothing&) {}
   void act(const become_learner& learning);
-  void act(const become_voter& place);
+  void act(const become_voter& role);
   void act(const leave_group&);
   void act(const finish_retirement&);
-  void change(const records::Group& group, std::string_view what,
+  void change(const records::Group& group, std::string_view action,
               std::string_view cause, const std::string& leaving);
-  void take_retirements(const std::set<std::string>& boxes);
+  void on_retirements(const std::set<std::string>& boxes);
 
   event_loop& loop_;
   record_server& server_;
@@ -63,19 +63,20 @@
   membership_settings settings_;
   std::set<std::string> retiring_;
   std::uint64_t retiring_since_ms_ = 0;
-  // The platform knows that this box's data is no longer needed: it may be
-  // taken away at any moment and takes no part any more.
-  bool retired_ = false;
+  // It was reported to the platform that this box's data is no longer needed.
+  // The box may be removed at any time; this store must not act any more.
+  bool reported_retired_ = false;
   bool announced_ = false;
   bool creating_ = false;
   bool changing_ = false;
   bool reported_running_ = false;
   bool reporting_ = false;
   std::uint64_t started_ms_ = 0;
-  std::uint64_t create_at_ms_ = 0;  // the first group is not looked at before
-  std::uint64_t changed_ms_ = 0;
-  std::uint64_t place_open_since_ms_ = 0;  // 0: none is open
-  timer ticking_;
+  std::uint64_t next_creation_ms_ =
+      0;  // next attempt to create the first group
+  std::uint64_t backoff_until_ms_ = 0;
+  std::uint64_t vacant_since_ms_ = 0;  // 0: no vacancy
+  timer tick_timer_;
 };
 
 }  // namespace trayrock
--- a/include/trayrock/internal/records/store_reader.h
+++ b/include/trayrock/internal/records/store_reader.h
@@ -1,9 +1,9 @@
-// Reads the other stores of the group on behalf of this one, and fences them.
+// Reads records from the other stores of the group, and fences them.
 //
-// Which stores there are, and how far each has been read, is kept by
-// decide/store_peers.h; this carries out the calls. A spare store only asks
-// whether the others live. One that learns or has become a voter reads one of
-// them in full and of the others what is still missing.
+// decide/store_peers.h tracks the stores and how far each has been read; this
+// class makes the calls. A spare store only polls the state of the others. A
+// learner or a new voter reads one voter in full, and only missing records from
+// the others.
 //
 // Example:
 //   store_reader reader(loop, server, pool);
@@ -25,20 +25,20 @@
 
 class store_reader {
  public:
-  // All outlive the object.
+  // All must outlive the object.
   store_reader(event_loop& loop, record_server& server, rpc_pool& pool)
       : loop_(loop), server_(server), pool_(pool) {}
   store_reader(const store_reader&) = delete;
   store_reader& operator=(const store_reader&) = delete;
 
-  // Follows the group that the server knows.
+  // Updates the peers from the server's group.
   void follow_group();
 
-  // Asks the stores whose turn it is.
+  // Polls the stores that are due.
   void pull_due();
 
-  // Tells the voters of the epoch before of the present one, those that have
-  // not confirmed it.
+  // Sends the current epoch to those voters of the previous one that have not
+  // confirmed it.
   void fence_previous_voters();
 
   // True while this store is a voter that does not count yet.
@@ -46,23 +46,23 @@
 
   const store_peers& peers() const { return peers_; }
 
-  // Whether a store that was heard last has said that the box is to be emptied.
-  bool told_retiring(const std::string& box) const;
+  // Whether a store's latest reply reported that the box is to be retired.
+  bool reported_retiring(const std::string& box) const;
 
  private:
-  // The calls to one other store, and how far it has been read.
-  struct reading {
+  // The calls to one other store, and the position up to which it was read.
+  struct read_progress {
     std::uint64_t log = 0;
     std::uint64_t position = 0;
     rpc_call pulling;
     rpc_call fencing;
-    std::set<std::string> retiring_boxes;  // by its last answer
+    std::set<std::string> retiring_boxes;  // from its last reply
   };
 
-  // Records that are asked for by their keys.
+  // Records that are requested by key.
   struct named_records {
     records::PullRequest request;
-    bool all = true;  // all that are missing
+    bool all = true;  // includes all missing records
   };
 
   bool reads_records() const;
@@ -71,23 +71,22 @@
   bool full_source_is_read() const;
   records::PullKind pull_kind(const store_peer& from);
   void pull(const store_peer& from);
-  void pulled(const std::string& id, records::PullKind kind,
-              result<records::PullReply> answer);
-  void take_pulled(const std::string& id, const records::PullReply& reply);
-  named_records missing_of(const records::PullReply& listed) const;
+  void on_pull_reply(const std::string& id, records::PullKind kind,
+                     result<records::PullReply> reply);
+  void store_pulled(const std::string& id, const records::PullReply& reply);
+  named_records find_missing(const records::PullReply& listed) const;
   void fetch_missing(const std::string& id, const records::PullReply& listed);
-  void missing_taken(const std::string& id, const records::PullReply& listed,
-                     bool all);
-  void read_up_to(const std::string& id, const records::PullReply& reply);
+  void on_missing_stored(const std::string& id,
+                         const records::PullReply& listed, bool all);
+  void record_progress(const std::string& id, const records::PullReply& reply);
   void fence(const store_peer& voter);
 
   event_loop& loop_;
   record_server& server_;
   rpc_pool& pool_;
   store_peers peers_;
-  std::map<std::string, reading> readings_;  // by the store's id
-  // The voter whose records are read in full; of the others only what is
-  // still missing.
+  std::map<std::string, read_progress> progress_;  // by the store's id
+  // The voter that is read in full.
   std::string full_source_;
 };
 
--- a/src/records/record_disk.cc
+++ b/src/records/record_disk.cc
@@ -20,7 +20,7 @@
   struct pending_write {
     std::vector<disk_record> records;
     done_callback done;
-    std::vector<record_place> places;  // once written
+    std::vector<record_location> locations;  // once written
     std::error_code failed;
   };
 
@@ -37,8 +37,8 @@
     if (writer.joinable()) {
       writer.join();
     }
-    if (finished != nullptr) {
-      event_free(finished);
+    if (finished_event != nullptr) {
+      event_free(finished_event);
     }
     for (const int each : pipe) {
       if (each >= 0) {
@@ -51,15 +51,15 @@
     if (::pipe2(pipe.data(), O_NONBLOCK | O_CLOEXEC) != 0) {
       return false;
     }
-    finished = event_new(loop.base(), pipe[0], EV_READ | EV_PERSIST,
-                         on_finished, this);
-    event_add(finished, nullptr);
-    writer = std::thread([this] { run(); });
+    finished_event = event_new(loop.base(), pipe[0], EV_READ | EV_PERSIST,
+                               on_batches_finished, this);
+    event_add(finished_event, nullptr);
+    writer = std::thread([this] { write_batches(); });
     return true;
   }
 
-  // The writer's thread.
-  void run() {
+  // Runs on the writer's thread.
+  void write_batches() {
     std::unique_lock lock(guard);
     while (true) {
       wake.wait(lock, [this] { return stopping || !waiting.empty(); });
@@ -81,7 +81,7 @@
     }
   }
 
-  // One batch; `failure` says whether it is durable.
+  // Writes and syncs one batch; sets `failure` if it is not durable.
   void commit(std::vector<pending_write>& batch) {
     for (pending_write& each : batch) {
       if (!failure && !each.records.empty()) {
@@ -96,44 +96,45 @@
     constexpr double us_per_ms = 1000;
     const double ms = static_cast<double>(loop.now_us() - began) / us_per_ms;
     const std::scoped_lock lock(guard);
-    ++seen.syncs;
-    seen.longest_sync_ms = std::max(seen.longest_sync_ms, ms);
+    ++totals.syncs;
+    totals.max_sync_ms = std::max(totals.max_sync_ms, ms);
   }
 
   void append(pending_write& each) {
-    result<std::vector<record_place>> places = log->append(each.records);
-    if (!places) {
-      failure = places.error();
+    result<std::vector<record_location>> locations = log->append(each.records);
+    if (!locations) {
+      failure = locations.error();
       return;
     }
-    each.places = std::move(places.value());
+    each.locations = std::move(locations.value());
     const std::scoped_lock lock(guard);
     for (const disk_record& record : each.records) {
       const std::size_t bytes = record.key.size() + record.value.size();
-      seen.bytes_taken += bytes;
-      seen.bytes_written += bytes + segment_log::frame_bytes;
+      totals.bytes_accepted += bytes;
+      totals.bytes_written += bytes + segment_log::frame_bytes;
     }
   }
 
-  // The event loop's thread.
-  static void on_finished(evutil_socket_t socket, short, void* context) {
+  // Runs on the event loop's thread.
+  static void on_batches_finished(evutil_socket_t socket, short,
+                                  void* context) {
     auto* self = static_cast<impl*>(context);
     std::array<char, 64> signals{};
     while (::read(socket, signals.data(), signals.size()) > 0) {
     }
-    std::vector<pending_write> ended;
+    std::vector<pending_write> completed;
     {
       const std::scoped_lock lock(self->guard);
-      ended.swap(self->done);
+      completed.swap(self->done);
     }
-    for (pending_write& each : ended) {
-      self->end(each);
+    for (pending_write& each : completed) {
+      self->complete(each);
     }
   }
 
-  void end(pending_write& each) {
+  void complete(pending_write& each) {
     if (!each.failed) {
-      log->keep(each.records, each.places);
+      log->add_to_index(each.records, each.locations);
     } else if (!failure_logged) {
       failure_logged = true;
       log_error("disk_failed", {{"cause", each.failed.message()}});
@@ -148,14 +149,14 @@
   posix_files files;
   std::unique_ptr<segment_log> log;
   std::array<int, 2> pipe{-1, -1};
-  event* finished = nullptr;
+  event* finished_event = nullptr;
   mutable std::mutex guard;
   std::condition_variable wake;
   std::vector<pending_write> waiting;
   std::vector<pending_write> done;
   bool stopping = false;
-  disk_figures seen;
-  std::error_code failure;  // of the writer's thread; the first one stays
+  disk_statistics totals;
+  std::error_code failure;  // of the writer's thread; the first failure is kept
   bool failure_logged = false;
   std::thread writer;
 };
@@ -196,9 +197,9 @@
   impl_->log->erase(keys);
 }
 
-disk_figures record_disk::figures() const {
+disk_statistics record_disk::statistics() const {
   const std::scoped_lock lock(impl_->guard);
-  disk_figures made = impl_->seen;
+  disk_statistics made = impl_->totals;
   made.segments = impl_->log->segments();
   return made;
 }
--- a/src/records/record_server.cc
+++ b/src/records/record_server.cc
@@ -10,14 +10,14 @@
 namespace trayrock {
 namespace {
 
-// Of the store's own state on the disk.
+// Key of the store's own state on disk.
 constexpr std::string_view state_key = "m/state";
-// Of the permits that were given to a workspace, with its name behind.
+// Prefix of the key of a workspace's permits; the name follows.
 constexpr std::string_view permits_prefix = "p/";
-// An answer to a pull is cut once it has grown to this size.
-constexpr std::size_t pull_bytes = 256U << 10;
-// Records, or keys, that one answer looks at.
-constexpr std::size_t most_pulled = 5000;
+// No record is added to a pull's reply once it has reached this size.
+constexpr std::size_t max_pull_bytes = 256U << 10;
+// Records or keys per pull reply.
+constexpr std::size_t max_pulled_records = 5000;
 constexpr milliseconds expiry_period{5000};
 
 std::string new_id() {
@@ -36,62 +36,61 @@
     : loop_(loop),
       server_(server),
       metrics_(metrics),
-      book_([this](const std::string& key) { return read_record(key); }),
+      index_([this](const std::string& key) { return read_record(key); }),
       log_(new_log()) {}
 
 std::error_code record_server::open_disk(const std::string& folder) {
   result<std::unique_ptr<record_disk>> disk = record_disk::open(
       loop_, folder, [this](std::string_view key, std::string_view value) {
-        take_from_disk(key, value);
+        load_entry(key, value);
       });
   if (!disk) {
     return disk.error();
   }
   disk_ = std::move(disk.value());
   log_info("disk_read", {{"store", state_.id()},
-                         {"records", std::to_string(book_.size())},
+                         {"records", std::to_string(index_.size())},
                          {"unreadable", std::to_string(unreadable_)},
                          {"epoch", std::to_string(state_.group().epoch())},
                          {"counts", state_.counts() ? "yes" : "no"}});
   return {};
 }
 
-void record_server::take_from_disk(std::string_view key,
-                                   std::string_view value) {
+void record_server::load_entry(std::string_view key, std::string_view value) {
   const int size = static_cast<int>(value.size());
   if (key == state_key) {
     unreadable_ += state_.ParseFromArray(value.data(), size) ? 0 : 1;
     return;
   }
   if (key.starts_with(permits_prefix)) {
-    take_permits(value);
+    load_permits(value);
     return;
   }
-  // One object for all keeps its memory, and texts stay on the disk: 98 ms of
-  // processor time for 48,000 records in place of 162 ms, while gateways wait.
+  // Reuses one object to avoid allocations; the texts stay on disk.
   if (!reading_.ParseFromArray(value.data(), size) ||
-      !book_.add_durable(reading_, loop_.now_ms())) {
+      !index_.add_durable(reading_, loop_.now_ms())) {
     ++unreadable_;
   }
 }
 
-void record_server::take_permits(std::string_view value) {
+void record_server::load_permits(std::string_view value) {
   records::GivenPermits read;
   if (!read.ParseFromArray(value.data(), static_cast<int>(value.size()))) {
     ++unreadable_;
-  } else if (permits_read_) {
-    permits_read_(read);
+  } else if (on_permits_) {
+    on_permits_(read);
   }
 }
 
-void record_server::keep_permits(const records::GivenPermits& given,
-                                 std::function<void(std::error_code)> durable) {
+void record_server::write_permits(
+    const records::GivenPermits& given,
+    std::function<void(std::error_code)> durable) {
   disk_->write({{std::string(permits_prefix) + given.workspace(),
                  given.SerializeAsString()}},
                std::move(durable));
 }
 
-void record_server::drop_permits(std::span<const std::string> workspaces) {
+void record_server::erase_permits(std::span<const std::string> workspaces) {
   std::vector<std::string> keys;
   for (const std::string& each : workspaces) {
     keys.push_back(std::string(permits_prefix) + each);
@@ -110,9 +109,9 @@
   return record;
 }
 
-void record_server::note_durable(std::span<const std::string> keys) {
+void record_server::mark_durable(std::span<const std::string> keys) {
   for (const std::string& each : keys) {
-    book_.durable(each);
+    index_.durable(each);
   }
 }
 
@@ -166,7 +165,7 @@
   }
   save_state(std::move(durable));
   if (newer) {
-    for (const auto& each : changed_) {
+    for (const auto& each : group_observers_) {
       each();
     }
   }
@@ -183,48 +182,48 @@
                                                 : judge_write(state_, request);
   metrics_.add("record_writes_total",
                {{"outcome", records::Outcome_Name(outcome)}});
-  const bool taken =
+  const bool accepted =
       outcome == records::OUTCOME_OK || outcome == records::OUTCOME_CATCHING_UP;
-  if (!taken || !request.has_record()) {
-    answer_write(request, outcome, reply);
+  if (!accepted || !request.has_record()) {
+    send_write_reply(request, outcome, reply);
     return;
   }
   const std::string key = record_key(request.record());
   std::vector<disk_record> changes;
-  if (book_.add(request.record(), loop_.now_ms())) {
+  if (index_.add(request.record(), loop_.now_ms())) {
     changes.push_back({key, request.record().SerializeAsString()});
   }
-  // A record that is held already may still be on its way to the disk, so
-  // that its answer waits for the next sync all the same.
+  // A record that is stored already may not be on disk yet, so its reply waits
+  // for the next sync too.
   const std::uint64_t began = loop_.now_us();
   disk_->write(std::move(changes), [this, request, outcome, reply, key,
                                     began](std::error_code failed) {
     disk_failed_ = disk_failed_ || failed;
-    book_.durable(key);
+    index_.durable(key);
     constexpr double us_per_ms = 1000;
     metrics_.observe("disk_write_ms", {},
                      static_cast<double>(loop_.now_us() - began) / us_per_ms);
-    answer_write(request, failed ? records::OUTCOME_DISK_FAILED : outcome,
-                 reply);
+    send_write_reply(request, failed ? records::OUTCOME_DISK_FAILED : outcome,
+                     reply);
   });
 }
 
-void record_server::answer_write(const records::WriteRequest& request,
-                                 records::Outcome outcome,
-                                 const rpc_reply_ptr& reply) {
-  records::WriteReply answer;
+void record_server::send_write_reply(const records::WriteRequest& request,
+                                     records::Outcome outcome,
+                                     const rpc_reply_ptr& reply) {
+  records::WriteReply message;
   // The epoch may have been fenced while the disk was being written.
   if (outcome == records::OUTCOME_OK) {
     outcome = judge_write(state_, request);
   }
-  answer.set_outcome(outcome);
+  message.set_outcome(outcome);
   if (request.epoch() != state_.group().epoch()) {
-    *answer.mutable_group() = state_.group();
+    *message.mutable_group() = state_.group();
   }
   if (request.has_record() && request.record().has_reservation()) {
     const std::string& program = request.record().reservation().program();
-    for (const turn_usage& each : book_.usage(program)) {
-      records::Usage& usage = *answer.add_program();
+    for (const turn_usage& each : index_.usage(program)) {
+      records::Usage& usage = *message.add_program();
       usage.set_attempt(each.attempt);
       usage.set_reserved(each.reserved);
       usage.set_settled(each.settled);
@@ -232,98 +231,98 @@
     }
   }
   if (!request.chain_of().empty()) {
-    add_chain(request, answer);
+    add_chain(request, message);
   }
-  reply->send(answer);
+  reply->send(message);
   reply->finish();
 }
 
 void record_server::add_chain(const records::WriteRequest& request,
-                              records::WriteReply& answer) const {
-  turn_chain chain = book_.chain(request.chain_of());
-  answer.set_chain_of(request.chain_of());
-  answer.set_chain(!chain.found        ? records::CHAIN_MISSING
-                   : chain.gap.empty() ? records::CHAIN_FOUND
-                                       : records::CHAIN_PARTIAL);
-  answer.set_chain_gap(chain.gap);
-  answer.set_chain_endpoint(chain.endpoint);
+                              records::WriteReply& message) const {
+  turn_chain chain = index_.chain(request.chain_of());
+  message.set_chain_of(request.chain_of());
+  message.set_chain(!chain.found        ? records::CHAIN_MISSING
+                    : chain.gap.empty() ? records::CHAIN_FOUND
+                                        : records::CHAIN_PARTIAL);
+  message.set_chain_gap(chain.gap);
+  message.set_chain_endpoint(chain.endpoint);
   if (chain.found && request.send_chain()) {
-    answer.set_text(std::move(chain.text));
-    answer.set_text_included(true);
+    message.set_text(std::move(chain.text));
+    message.set_text_included(true);
   }
 }
 
 void record_server::pull(const records::PullRequest& request,
                          const rpc_reply_ptr& reply) {
-  records::PullReply answer;
-  answer.set_store(state_.id());
-  answer.set_counts(state_.counts());
-  answer.set_epoch(state_.group().epoch());
-  *answer.mutable_group() = state_.group();
-  answer.set_log(log_);
+  records::PullReply message;
+  message.set_store(state_.id());
+  message.set_counts(state_.counts());
+  message.set_epoch(state_.group().epoch());
+  *message.mutable_group() = state_.group();
+  message.set_log(log_);
   for (const std::string& box : retiring_) {
-    answer.add_retiring_boxes(box);
+    message.add_retiring_boxes(box);
   }
   switch (request.kind()) {
     case records::PULL_RECORDS:
     case records::PULL_KEYS:
-      add_records_behind(request, answer);
+      add_records_after(request, message);
       break;
     case records::PULL_NAMED:
-      add_named_records(request, answer);
+      add_named_records(request, message);
       break;
     default:
       break;
   }
-  reply->send(answer);
+  reply->send(message);
   reply->finish();
 }
 
-void record_server::add_records_behind(const records::PullRequest& request,
-                                       records::PullReply& answer) const {
+void record_server::add_records_after(const records::PullRequest& request,
+                                      records::PullReply& message) const {
   const std::uint64_t from = request.log() == log_ ? request.after() : 0;
   const std::uint64_t now = loop_.now_ms();
   const bool keys_only = request.kind() == records::PULL_KEYS;
-  answer.set_position(from);
+  message.set_position(from);
   std::size_t bytes = 0;
-  for (const auto& each : book_.after(from, most_pulled)) {
+  for (const auto& each : index_.after(from, max_pulled_records)) {
     if (keys_only) {
-      answer.add_keys(each.key);
-    } else if (bytes < pull_bytes) {
-      const std::optional<records::Record> held = book_.find(each.key);
-      if (!held) {
-        break;  // what cannot be read here is not passed over in silence
+      message.add_keys(each.key);
+    } else if (bytes < max_pull_bytes) {
+      const std::optional<records::Record> record = index_.find(each.key);
+      if (!record) {
+        break;  // an unreadable record must not be skipped
       }
-      bytes += held->ByteSizeLong();
-      records::PulledRecord& pulled = *answer.add_records();
-      *pulled.mutable_record() = *held;
+      bytes += record->ByteSizeLong();
+      records::PulledRecord& pulled = *message.add_records();
+      *pulled.mutable_record() = *record;
       pulled.set_age_ms(now - each.added_at_ms);
     } else {
       break;
     }
-    answer.set_position(each.position);
+    message.set_position(each.position);
   }
-  answer.set_more(answer.position() < book_.position());
+  message.set_more(message.position() < index_.position());
 }
 
 void record_server::add_named_records(const records::PullRequest& request,
-                                      records::PullReply& answer) const {
+                                      records::PullReply& message) const {
   for (const std::string& key : request.keys()) {
-    const std::optional<records::Record> held = book_.find(key);
-    if (held) {
-      *answer.add_records()->mutable_record() = *held;
+    const std::optional<records::Record> record = index_.find(key);
+    if (record) {
+      *message.add_records()->mutable_record() = *record;
     }
   }
 }
 
-void record_server::take(const records::PullReply& pulled,
-                         std::function<void()> durable) {
+void record_server::store_pulled(const records::PullReply& pulled,
+                                 std::function<void()> durable) {
   std::vector<disk_record> changes;
   std::vector<std::string> keys;
   const std::uint64_t now = loop_.now_ms();
   for (const records::PulledRecord& each : pulled.records()) {
     const std::uint64_t age = std::min(each.age_ms(), now);
-    if (book_.add(each.record(), now - age)) {
+    if (index_.add(each.record(), now - age)) {
       keys.push_back(record_key(each.record()));
       changes.push_back({keys.back(), each.record().SerializeAsString()});
     }
@@ -336,7 +335,7 @@
                [this, keys = std::move(keys),
                 durable = std::move(durable)](std::error_code failed) {
                  disk_failed_ = disk_failed_ || failed;
-                 note_durable(keys);
+                 mark_durable(keys);
                  if (!failed) {
                    durable();
                  }
@@ -345,34 +344,35 @@
 
 void record_server::fence(const records::FenceRequest& request,
                           const rpc_reply_ptr& reply) {
-  const auto answer = [this, reply, epoch = request.group().epoch()] {
+  const auto send_reply = [this, reply, epoch = request.group().epoch()] {
     reply->send(answer_fence(state_, epoch));
     reply->finish();
   };
   if (request.group().epoch() > state_.group().epoch()) {
-    adopt(request.group(), answer);
+    adopt(request.group(), send_reply);
     return;
   }
-  answer();
+  send_reply();
 }
 
 void record_server::expire() {
-  const std::vector<std::string> gone = book_.expire(loop_.now_ms());
-  if (!gone.empty()) {
-    disk_->erase(gone);
+  const std::vector<std::string> expired = index_.expire(loop_.now_ms());
+  if (!expired.empty()) {
+    disk_->erase(expired);
   }
-  show_figures();
+  update_metrics();
 }
 
-void record_server::show_figures() {
-  const disk_figures seen = disk_->figures();
-  metrics_.set("records_held", {}, static_cast<double>(book_.size()));
-  metrics_.set("disk_segments", {}, static_cast<double>(seen.segments));
-  metrics_.set("disk_syncs", {}, static_cast<double>(seen.syncs));
-  metrics_.set("disk_longest_sync_ms", {}, seen.longest_sync_ms);
-  metrics_.set("disk_bytes_taken", {}, static_cast<double>(seen.bytes_taken));
+void record_server::update_metrics() {
+  const disk_statistics totals = disk_->statistics();
+  metrics_.set("records_held", {}, static_cast<double>(index_.size()));
+  metrics_.set("disk_segments", {}, static_cast<double>(totals.segments));
+  metrics_.set("disk_syncs", {}, static_cast<double>(totals.syncs));
+  metrics_.set("disk_longest_sync_ms", {}, totals.max_sync_ms);
+  metrics_.set("disk_bytes_taken", {},
+               static_cast<double>(totals.bytes_accepted));
   metrics_.set("disk_bytes_written", {},
-               static_cast<double>(seen.bytes_written));
+               static_cast<double>(totals.bytes_written));
 }
 
 }  // namespace trayrock
--- a/src/records/segment_log.cc
+++ b/src/records/segment_log.cc
@@ -12,36 +12,36 @@
 namespace trayrock {
 namespace {
 
-// At the start of each file; the last sign is the format's number.
-constexpr std::string_view file_head = "trayrock-records-1\n";
-constexpr std::string_view file_ending = ".log";
-// A frame begins with its checksum, the length of its key and that of its
+// At the start of each file; the digit is the version of the format.
+constexpr std::string_view file_header = "trayrock-records-1\n";
+constexpr std::string_view file_extension = ".log";
+// A frame starts with its checksum, the length of its key and the length of its
 // value.
-constexpr std::size_t frame_head_bytes = segment_log::frame_bytes;
-// Longer frames are not ours: a turn's text is bounded by what a client may
-// send, and by the events of one answer.
-constexpr std::uint32_t longest_value = 64U << 20;
-constexpr std::uint32_t longest_key = 1024;
-// Read ahead for a frame whose length is not known.
+constexpr std::size_t frame_header_bytes = segment_log::frame_bytes;
+// Larger lengths mean that a frame is damaged: requests and responses are
+// smaller.
+constexpr std::uint32_t max_value_bytes = 64U << 20;
+constexpr std::uint32_t max_key_bytes = 1024;
+// Size of the first read of a frame whose length is not known yet.
 constexpr std::size_t first_read_bytes = 1024;
 
 std::uint64_t hash_of(std::string_view key) {
   return XXH3_64bits(key.data(), key.size());
 }
 
-std::string name_of(std::uint32_t number) {
+std::string file_name(std::uint32_t number) {
   std::array<char, 16> text{};
   std::snprintf(text.data(), text.size(), "%08x", number);
-  return std::string(text.data()) + std::string(file_ending);
+  return std::string(text.data()) + std::string(file_extension);
 }
 
-// The number of a file of ours; nothing for other files.
-std::optional<std::uint32_t> number_of(const std::string& name) {
+// The number in a segment's file name; nothing for other files.
+std::optional<std::uint32_t> segment_number(const std::string& name) {
   constexpr std::size_t digits = 8;
   constexpr int hexadecimal = 16;
-  const bool shaped =
-      name.size() == digits + file_ending.size() && name.ends_with(file_ending);
-  if (!shaped) {
+  const bool matches = name.size() == digits + file_extension.size() &&
+                       name.ends_with(file_extension);
+  if (!matches) {
     return std::nullopt;
   }
   std::size_t used = 0;
@@ -50,11 +50,11 @@
     return used == digits ? std::optional(static_cast<std::uint32_t>(number))
                           : std::nullopt;
   } catch (const std::exception&) {
-    return std::nullopt;  // no number at all
+    return std::nullopt;  // not a number
   }
 }
 
-void put(std::string& into, std::uint32_t value) {
+void append_number(std::string& into, std::uint32_t value) {
   std::array<char, sizeof(value)> bytes{};
   std::memcpy(bytes.data(), &value, sizeof(value));
   into.append(bytes.data(), bytes.size());
@@ -66,20 +66,20 @@
   return value;
 }
 
-// Of everything in a frame behind it.
+// The checksum of the rest of a frame.
 std::uint32_t checksum(std::string_view rest) {
   return static_cast<std::uint32_t>(XXH3_64bits(rest.data(), rest.size()));
 }
 
-std::string frame_of(const disk_record& record) {
+std::string make_frame(const disk_record& record) {
   std::string rest;
-  rest.reserve(frame_head_bytes + record.key.size() + record.value.size());
-  put(rest, static_cast<std::uint32_t>(record.key.size()));
-  put(rest, static_cast<std::uint32_t>(record.value.size()));
+  rest.reserve(frame_header_bytes + record.key.size() + record.value.size());
+  append_number(rest, static_cast<std::uint32_t>(record.key.size()));
+  append_number(rest, static_cast<std::uint32_t>(record.value.size()));
   rest.append(record.key).append(record.value);
   std::string frame;
   frame.reserve(sizeof(std::uint32_t) + rest.size());
-  put(frame, checksum(rest));
+  append_number(frame, checksum(rest));
   frame.append(rest);
   return frame;
 }
@@ -87,22 +87,23 @@
 struct frame_view {
   std::string_view key;
   std::string_view value;
-  std::size_t size = 0;  // of the whole frame
+  std::size_t size = 0;  // of the complete frame
 };
 
-// The length of the frame that begins with these bytes; 0 if there is none.
+// The length of the frame that starts with these bytes; 0 if it is invalid.
 std::size_t frame_size(std::string_view bytes) {
-  if (bytes.size() < frame_head_bytes) {
+  if (bytes.size() < frame_header_bytes) {
     return 0;
   }
   const std::uint32_t key = number_at(bytes, 4);
   const std::uint32_t value = number_at(bytes, 8);
-  const bool sound = key > 0 && key <= longest_key && value <= longest_value;
-  return sound ? frame_head_bytes + key + value : 0;
+  const bool valid =
+      key > 0 && key <= max_key_bytes && value <= max_value_bytes;
+  return valid ? frame_header_bytes + key + value : 0;
 }
 
-// Nothing if the bytes do not begin with a whole, sound frame.
-std::optional<frame_view> frame_in(std::string_view bytes) {
+// Returns nothing if the bytes do not start with a complete, valid frame.
+std::optional<frame_view> parse_frame(std::string_view bytes) {
   const std::size_t size = frame_size(bytes);
   if (size == 0 || bytes.size() < size ||
       checksum(bytes.substr(4, size - 4)) != number_at(bytes, 0)) {
@@ -110,19 +111,19 @@
   }
   const std::uint32_t key = number_at(bytes, 4);
   frame_view made;
-  made.key = bytes.substr(frame_head_bytes, key);
+  made.key = bytes.substr(frame_header_bytes, key);
   made.value =
-      bytes.substr(frame_head_bytes + key, size - frame_head_bytes - key);
+      bytes.substr(frame_header_bytes + key, size - frame_header_bytes - key);
   made.size = size;
   return made;
 }
 
-// Of a file whose head was being written when the power went. Nothing is
-// written behind a head that is not synced.
-bool is_torn_head(std::string_view bytes) {
+// Whether a power loss interrupted the writing of the header. No record is
+// written before the header is synced.
+bool is_torn_header(std::string_view bytes) {
   const std::size_t last = bytes.find_last_not_of('\0');
   const std::size_t length = last == std::string_view::npos ? 0 : last + 1;
-  return file_head.starts_with(bytes.substr(0, length));
+  return file_header.starts_with(bytes.substr(0, length));
 }
 
 }  // namespace
@@ -130,8 +131,8 @@
 struct segment_log::segment {
   std::uint32_t number = 0;
   std::unique_ptr<disk_file> file;
-  std::size_t bytes = 0;    // of the writing thread
-  std::size_t records = 0;  // that are held; of the other thread
+  std::size_t bytes = 0;    // used by the writing thread
+  std::size_t records = 0;  // in the index; used by the other thread
 };
 
 segment_log::segment_log(disk_files& files) : files_(files) {}
@@ -155,7 +156,7 @@
   }
   std::map<std::uint32_t, std::string> ours;
   for (const std::string& name : names.value()) {
-    const std::optional<std::uint32_t> number = number_of(name);
+    const std::optional<std::uint32_t> number = segment_number(name);
     if (!number) {
       log_error("disk_format_unknown", {{"file", name}});
       return errc::disk_format;
@@ -186,53 +187,54 @@
               {{"file", name}, {"cause", bytes.error().message()}});
     return errc::disk_failed;
   }
-  const std::string_view whole = bytes.value();
-  const bool headed = whole.starts_with(file_head);
-  if (!headed && !is_torn_head(whole)) {
+  const std::string_view content = bytes.value();
+  const bool has_header = content.starts_with(file_header);
+  if (!has_header && !is_torn_header(content)) {
     log_error("disk_format_unknown", {{"file", name}});
     return errc::disk_format;
   }
-  auto held = std::make_shared<segment>();
-  held->number = number;
-  held->file = std::move(file.value());
-  segments_[number] = held;
-  std::size_t at = headed ? file_head.size() : whole.size();
-  while (const std::optional<frame_view> frame = frame_in(whole.substr(at))) {
-    keep_one(frame->key, {number, static_cast<std::uint32_t>(at)});
+  auto loaded = std::make_shared<segment>();
+  loaded->number = number;
+  loaded->file = std::move(file.value());
+  segments_[number] = loaded;
+  std::size_t at = has_header ? file_header.size() : content.size();
+  while (const std::optional<frame_view> frame =
+             parse_frame(content.substr(at))) {
+    index_record(frame->key, {number, static_cast<std::uint32_t>(at)});
     visit(frame->key, frame->value);
     at += frame->size;
   }
-  if (held->records == 0) {
+  if (loaded->records == 0) {
     segments_.erase(number);
     if (const std::error_code failed = files_.remove(name)) {
       log_warn("segment_not_removed",
                {{"segment", name}, {"cause", failed.message()}});
     }
   }
-  if (at < whole.size()) {
+  if (at < content.size()) {
     log_info("disk_tail_left",
-             {{"file", name}, {"bytes", std::to_string(whole.size() - at)}});
+             {{"file", name}, {"bytes", std::to_string(content.size() - at)}});
   }
   return {};
 }
 
 // ---- Writing ---------------------------------------------------------------
 
-std::error_code segment_log::begin_segment() {
+std::error_code segment_log::start_segment() {
   auto made = std::make_shared<segment>();
   made->number = next_number_++;
   result<std::unique_ptr<disk_file>> file =
-      files_.create(name_of(made->number));
+      files_.create(file_name(made->number));
   if (!file) {
     return file.error();
   }
   made->file = std::move(file.value());
-  made->bytes = file_head.size();
-  // What the last one holds is durable before anything behind it is.
+  made->bytes = file_header.size();
+  // The previous segment must be durable before anything in the new one is.
   if (const std::error_code failed = sync()) {
     return failed;
   }
-  if (const std::error_code failed = made->file->append(file_head)) {
+  if (const std::error_code failed = made->file->append(file_header)) {
     return failed;
   }
   if (const std::error_code failed = made->file->sync()) {
@@ -244,25 +246,25 @@
   return {};
 }
 
-result<std::vector<record_place>> segment_log::append(
+result<std::vector<record_location>> segment_log::append(
     std::span<const disk_record> records) {
   if (current_ == nullptr || current_->bytes >= segment_bytes) {
-    if (const std::error_code failed = begin_segment()) {
+    if (const std::error_code failed = start_segment()) {
       return failed;
     }
   }
-  std::vector<record_place> places;
+  std::vector<record_location> locations;
   std::string bytes;
   for (const disk_record& each : records) {
     const std::size_t offset = current_->bytes + bytes.size();
-    places.push_back({current_->number, static_cast<std::uint32_t>(offset)});
-    bytes += frame_of(each);
+    locations.push_back({current_->number, static_cast<std::uint32_t>(offset)});
+    bytes += make_frame(each);
   }
   if (const std::error_code failed = current_->file->append(bytes)) {
     return failed;
   }
   current_->bytes += bytes.size();
-  return places;
+  return locations;
 }
 
 std::error_code segment_log::sync() {
@@ -273,68 +275,71 @@
 
 segment_log::segment_ptr segment_log::find(std::uint32_t number) const {
   const std::scoped_lock lock(guard_);
-  const auto held = segments_.find(number);
-  return held == segments_.end() ? nullptr : held->second;
+  const auto found = segments_.find(number);
+  return found == segments_.end() ? nullptr : found->second;
 }
 
-void segment_log::keep(std::span<const disk_record> records,
-                       std::span<const record_place> places) {
-  for (std::size_t i = 0; i < records.size() && i < places.size(); ++i) {
-    keep_one(records[i].key, places[i]);
+void segment_log::add_to_index(std::span<const disk_record> records,
+                               std::span<const record_location> locations) {
+  for (std::size_t i = 0; i < records.size() && i < locations.size(); ++i) {
+    index_record(records[i].key, locations[i]);
   }
 }
 
-void segment_log::keep_one(std::string_view key, const record_place& place) {
-  const auto [held, added] = index_.try_emplace(hash_of(key), place);
+void segment_log::index_record(std::string_view key,
+                               const record_location& location) {
+  const auto [entry, added] = index_.try_emplace(hash_of(key), location);
   if (!added) {
-    release(std::exchange(held->second, place));
+    release(std::exchange(entry->second, location));
   }
-  if (const segment_ptr in = find(place.segment)) {
+  if (const segment_ptr in = find(location.segment)) {
     ++in->records;
   }
 }
 
-// One record less in its file.
-void segment_log::release(const record_place& place) {
-  const segment_ptr in = find(place.segment);
+// Decrements the record count of a segment; removes the segment's file if it
+// has none left and is not the newest.
+void segment_log::release(const record_location& location) {
+  const segment_ptr in = find(location.segment);
   if (in == nullptr || --in->records > 0) {
     return;
   }
   const std::scoped_lock lock(guard_);
-  const bool written_to =
-      !segments_.empty() && segments_.rbegin()->first == place.segment;
-  if (written_to) {
+  const bool is_newest =
+      !segments_.empty() && segments_.rbegin()->first == location.segment;
+  if (is_newest) {
     return;
   }
-  segments_.erase(place.segment);
-  if (const std::error_code failed = files_.remove(name_of(place.segment))) {
-    log_warn("segment_not_removed", {{"segment", std::to_string(place.segment)},
-                                     {"cause", failed.message()}});
+  segments_.erase(location.segment);
+  if (const std::error_code failed =
+          files_.remove(file_name(location.segment))) {
+    log_warn("segment_not_removed",
+             {{"segment", std::to_string(location.segment)},
+              {"cause", failed.message()}});
   }
 }
 
 std::optional<std::string> segment_log::read(std::string_view key) const {
-  const auto held = index_.find(hash_of(key));
-  if (held == index_.end()) {
+  const auto found = index_.find(hash_of(key));
+  if (found == index_.end()) {
     return std::nullopt;
   }
-  const segment_ptr in = find(held->second.segment);
+  const segment_ptr in = find(found->second.segment);
   if (in == nullptr) {
     return std::nullopt;
   }
   result<std::string> bytes =
-      in->file->read(held->second.offset, first_read_bytes);
+      in->file->read(found->second.offset, first_read_bytes);
   const std::size_t size = bytes ? frame_size(bytes.value()) : 0;
   if (bytes && size > bytes.value().size()) {
-    bytes = in->file->read(held->second.offset, size);
+    bytes = in->file->read(found->second.offset, size);
   }
   const std::optional<frame_view> frame =
-      bytes ? frame_in(bytes.value()) : std::nullopt;
+      bytes ? parse_frame(bytes.value()) : std::nullopt;
   if (!frame || frame->key != key) {
-    log_error(
-        "disk_read_failed",
-        {{"segment", std::to_string(held->second.segment)},
-         {"cause", bytes ? "not a sound record" : bytes.error().message()}});
+    log_error("disk_read_failed",
+              {{"segment", std::to_string(found->second.segment)},
+               {"cause", bytes ? "invalid record" : bytes.error().message()}});
     return std::nullopt;
   }
   return std::string(frame->value);
@@ -342,11 +347,11 @@
 
 void segment_log::erase(std::span<const std::string> keys) {
   for (const std::string& key : keys) {
-    const auto held = index_.find(hash_of(key));
-    if (held != index_.end()) {
-      const record_place place = held->second;
-      index_.erase(held);
-      release(place);
+    const auto found = index_.find(hash_of(key));
+    if (found != index_.end()) {
+      const record_location location = found->second;
+      index_.erase(found);
+      release(location);
     }
   }
 }
--- a/src/records/store_main.cc
+++ b/src/records/store_main.cc
@@ -1,4 +1,4 @@
-// trayrock-store: keeps records of turns on a box with a disk.
+// trayrock-store: stores records of turns on a box with a disk.
 #include <algorithm>
 #include <csignal>
 
@@ -19,7 +19,7 @@
   made.self.set_address(from.service.rpc_address.text());
   made.self.set_box(from.service.box);
   made.self.set_data_centre(from.service.data_centre);
-  // Voters lie in different data centres as far as there are enough.
+  // Voters are spread over data centres, if there are enough of them.
   made.tolerated = static_cast<std::uint32_t>(
       std::max(from.tolerated_losses, from.tolerated_data_centre_losses));
   made.first_start = from.first_start;
@@ -45,10 +45,10 @@
       {[&server]() -> const records::StoreState& { return server.state(); },
        [&server](const records::GivenPermits& given,
                  std::function<void(std::error_code)> durable) {
-         server.keep_permits(given, std::move(durable));
+         server.write_permits(given, std::move(durable));
        },
        [&server](const std::vector<std::string>& workspaces) {
-         server.drop_permits(workspaces);
+         server.erase_permits(workspaces);
        }});
   server.on_permits(
       [&permits](const records::GivenPermits& read) { permits.restore(read); });
@@ -60,13 +60,13 @@
   }
   store_membership_driver membership(loop, server, peers, registry,
                                      membership_of(settings));
-  http1_server figures(
+  http1_server metrics_server(
       loop, [] { return http1_limits{}; },
       [&metrics](const http1_request&, const http1_exchange_ptr& out) {
         out->respond(200, {}, metrics.text());
       });
   if (!rpc.listen(settings.service.rpc_listen) ||
-      !figures.listen(settings.service.metrics_listen)) {
+      !metrics_server.listen(settings.service.metrics_listen)) {
     log_error("listen_failed", {{"store", settings.service.name}});
     return exit_listen;
   }
--- a/src/records/store_membership_driver.cc
+++ b/src/records/store_membership_driver.cc
@@ -7,15 +7,15 @@
 namespace {
 
 constexpr milliseconds tick_period{100};
-// Stores that start together have announced themselves by then.
+// Time for stores that start together to announce themselves.
 constexpr std::uint64_t announcement_wait_ms = 2500;
-// The first group is proposed by its first voter, and by others only if there
-// is none this long after their start, so that not every store tries. Until
-// then they look this seldom.
-constexpr std::uint64_t late_proposal_ms = 4000;
-constexpr std::uint64_t proposal_pause_ms = 1000;
-// Pause after a change of the group that did not succeed.
-constexpr std::uint64_t change_pause_ms = 300;
+// The first voter proposes the first group. Other stores propose one only if
+// there is none this long after their start; until then they check at the
+// interval below.
+constexpr std::uint64_t fallback_proposal_ms = 4000;
+constexpr std::uint64_t proposal_retry_ms = 1000;
+// Backoff after a failed change of the group.
+constexpr std::uint64_t change_backoff_ms = 300;
 
 }  // namespace
 
@@ -34,8 +34,8 @@
   registry_.watch_group(
       [this](const records::Group& group) { server_.adopt(group, nullptr); });
   registry_.watch_retirements(
-      [this](const std::set<std::string>& boxes) { take_retirements(boxes); });
-  ticking_ = loop_.every(tick_period, [this] { tick(); });
+      [this](const std::set<std::string>& boxes) { on_retirements(boxes); });
+  tick_timer_ = loop_.every(tick_period, [this] { tick(); });
 }
 
 void store_membership_driver::tick() {
@@ -44,55 +44,57 @@
     return;
   }
   reader_.follow_group();
-  if (needs_others()) {
+  if (needs_peers()) {
     reader_.pull_due();
   }
   if (reader_.joining()) {
     finish_joining();
     return;
   }
-  const membership_view seen = view();
-  share_watches(seen);
-  if (!retired_ && !changing_ && loop_.now_ms() >= changed_ms_) {
+  const membership_view current = view();
+  update_platform_watch(current);
+  if (!reported_retired_ && !changing_ && loop_.now_ms() >= backoff_until_ms_) {
     std::visit([this](const auto& action) { act(action); },
-               next_membership_action(seen));
+               next_membership_action(current));
   }
 }
 
-void store_membership_driver::share_watches(const membership_view& seen) {
-  if (!settings_.shares_watches || needs_platform(seen)) {
+void store_membership_driver::update_platform_watch(
+    const membership_view& current) {
+  if (!settings_.shares_watches || needs_platform(current)) {
     registry_.resume();
   } else {
     registry_.pause();
   }
 }
 
-// A counting voter has nothing to learn unless someone retires.
-bool store_membership_driver::needs_others() const {
+// A counting voter needs no data from its peers unless a box retires.
+bool store_membership_driver::needs_peers() const {
   const records::StoreState& state = server_.state();
-  const bool standing = is_voter(state.group(), state.id()) && state.counts();
-  return !standing || !retiring_.empty();
+  const bool counts = is_voter(state.group(), state.id()) && state.counts();
+  return !counts || !retiring_.empty();
 }
 
 // ---- The first group -------------------------------------------------------
 
 void store_membership_driver::create_group() {
-  const bool due = !creating_ && loop_.now_ms() >= create_at_ms_;
+  const bool due = !creating_ && loop_.now_ms() >= next_creation_ms_;
   if (!settings_.first_start || !due || !registry_.group_known()) {
     return;
   }
   creating_ = true;
-  const auto settle = [this] { creating_ = false; };
+  const auto end_creation = [this] { creating_ = false; };
   if (!announced_) {
-    registry_.announce(settings_.self, [this, settle](std::error_code failed) {
-      announced_ = !failed || failed == errc::already_exists;
-      settle();
-    });
+    registry_.announce(settings_.self,
+                       [this, end_creation](std::error_code failed) {
+                         announced_ = !failed || failed == errc::already_exists;
+                         end_creation();
+                       });
     return;
   }
   registry_.announced(
-      [this, settle](const result<std::vector<records::Store>>& all) {
-        settle();
+      [this, end_creation](const result<std::vector<records::Store>>& all) {
+        end_creation();
         if (all) {
           create_group_of(all.value());
         }
@@ -110,8 +112,8 @@
   }
   const records::Group group = first_group(announced, settings_.tolerated);
   const bool first = group.voters(0).id() == settings_.self.id();
-  if (!first && loop_.now_ms() - started_ms_ < late_proposal_ms) {
-    create_at_ms_ = loop_.now_ms() + proposal_pause_ms;
+  if (!first && loop_.now_ms() - started_ms_ < fallback_proposal_ms) {
+    next_creation_ms_ = loop_.now_ms() + proposal_retry_ms;
     return;
   }
   creating_ = true;
@@ -124,9 +126,9 @@
   });
 }
 
-// ---- Taking a voter's place ------------------------------------------------
+// ---- Becoming a voter ------------------------------------------------------
 
-// This store is a voter that does not count yet.
+// Called while this store is a voter that does not count yet.
 void store_membership_driver::finish_joining() {
   reader_.fence_previous_voters();
   const records::StoreState& state = server_.state();
@@ -138,7 +140,7 @@
            {{"store", state.id()},
             {"epoch", std::to_string(state.group().epoch())},
             {"read_from", std::to_string(peers.read_since_fence(state))},
-            {"records", std::to_string(server_.book().size())}});
+            {"records", std::to_string(server_.index().size())}});
   server_.set_counts(true);
 }
 
@@ -151,31 +153,32 @@
   made.retiring_ms = retiring_since_ms_ == 0 ? 0 : now - retiring_since_ms_;
   made.peers = reader_.peers().views(now);
   made.change_pending = changing_;
-  made.peer_reported_retirement = reader_.told_retiring(settings_.self.box());
+  made.peer_reported_retirement =
+      reader_.reported_retiring(settings_.self.box());
   made.keeps_learners_ready = settings_.keeps_learners_ready;
   if (!has_vacancy(made)) {
-    place_open_since_ms_ = 0;
-  } else if (place_open_since_ms_ == 0) {
-    place_open_since_ms_ = now;
+    vacant_since_ms_ = 0;
+  } else if (vacant_since_ms_ == 0) {
+    vacant_since_ms_ = now;
   }
-  made.vacancy_ms = place_open_since_ms_ == 0 ? 0 : now - place_open_since_ms_;
+  made.vacancy_ms = vacant_since_ms_ == 0 ? 0 : now - vacant_since_ms_;
   return made;
 }
 
 void store_membership_driver::change(const records::Group& group,
-                                     std::string_view what,
+                                     std::string_view action,
                                      std::string_view cause,
                                      const std::string& leaving) {
   changing_ = true;
   log_info("group_change_proposed", {{"store", settings_.self.id()},
-                                     {"action", std::string(what)},
+                                     {"action", std::string(action)},
                                      {"cause", std::string(cause)},
                                      {"leaving", leaving},
                                      {"epoch", std::to_string(group.epoch())}});
   registry_.change_group(group, [this](std::error_code failed) {
     changing_ = false;
     if (failed) {
-      changed_ms_ = loop_.now_ms() + change_pause_ms;
+      backoff_until_ms_ = loop_.now_ms() + change_backoff_ms;
       log_info("group_change_failed", {{"cause", failed.message()}});
     }
   });
@@ -187,14 +190,14 @@
          "learn", "new", "");
 }
 
-void store_membership_driver::act(const become_voter& place) {
-  change(with_voter(server_.state().group(), settings_.self, place.replaced),
-         "vote", place.cause, place.replaced);
+void store_membership_driver::act(const become_voter& role) {
+  change(with_voter(server_.state().group(), settings_.self, role.replaced),
+         "vote", role.cause, role.replaced);
 }
 
 // ---- Retirement ------------------------------------------------------------
 
-void store_membership_driver::take_retirements(
+void store_membership_driver::on_retirements(
     const std::set<std::string>& boxes) {
   retiring_ = boxes;
   server_.set_retiring(boxes);
@@ -230,7 +233,7 @@
   registry_.report_retirement(
       settings_.self.box(), true, [this](std::error_code failed) {
         reporting_ = false;
-        retired_ = retired_ || !failed;
+        reported_retired_ = reported_retired_ || !failed;
         log_info("retirement_reported",
                  {{"box", settings_.self.box()},
                   {"outcome", failed ? failed.message() : "finished"}});
--- a/src/records/store_reader.cc
+++ b/src/records/store_reader.cc
@@ -8,13 +8,12 @@
 namespace trayrock {
 namespace {
 
-// A store that has nothing to catch up on asks the others this seldom; one that
-// has asks at every tick.
-constexpr std::uint64_t calm_pull_period_ms = 400;
-// A store that does not answer a call within this time is asked again.
-constexpr milliseconds call_limit{700};
-// Records that are asked for by name in one call.
-constexpr int most_named_records = 500;
+// Poll period of a store that is up to date; a store that is catching up pulls
+// at every tick.
+constexpr std::uint64_t idle_pull_period_ms = 400;
+constexpr milliseconds call_timeout{700};
+// Records that are requested by key in one call.
+constexpr int max_named_records = 500;
 
 }  // namespace
 
@@ -23,51 +22,51 @@
   return is_voter(state.group(), state.id()) && !state.counts();
 }
 
-// Others, which are spare, only ask whether the voters live.
+// Spare stores only poll the state of the voters.
 bool store_reader::reads_records() const {
   const records::StoreState& state = server_.state();
   return joining() || is_learner(state.group(), state.id());
 }
 
-// ---- Which store is asked, and for what ------------------------------------
+// ---- Selection of stores and pull kinds ------------------------------------
 
 void store_reader::follow_group() {
   peers_.follow(server_.state(), loop_.now_ms());
 }
 
-bool store_reader::told_retiring(const std::string& box) const {
-  return std::any_of(readings_.begin(), readings_.end(), [&](const auto& each) {
+bool store_reader::reported_retiring(const std::string& box) const {
+  return std::any_of(progress_.begin(), progress_.end(), [&](const auto& each) {
     return each.second.retiring_boxes.contains(box);
   });
 }
 
 void store_reader::pull_due() {
   for (const auto& [id, each] : peers_.all()) {
-    if (!readings_[id].pulling.running() && is_due(each)) {
+    if (!progress_[id].pulling.running() && is_due(each)) {
       pull(each);
     }
   }
 }
 
-// Learners are only asked whether they live.
+// Only the state of learners is polled, at the idle period.
 bool store_reader::is_due(const store_peer& from) const {
   const std::uint64_t since =
       loop_.now_ms() - std::max(from.last_reply_ms, from.first_polled_ms);
-  if (since >= calm_pull_period_ms || from.last_reply_ms == 0) {
+  if (since >= idle_pull_period_ms || from.last_reply_ms == 0) {
     return true;
   }
   const bool behind = reads_records() && !from.read_to_end;
   return !from.learner && (behind || joining());
 }
 
-// An empty store reads one voter in full, and of the others, after that, only
-// what is missing.
+// An empty store reads one voter in full, and afterwards only missing records
+// from the others.
 records::PullKind store_reader::pull_kind(const store_peer& from) {
   if (!reads_records() || from.learner ||
       from.id_at_address != from.store.id()) {
     return records::PULL_STATE;
   }
-  const bool empty = server_.book().size() == 0;
+  const bool empty = server_.index().size() == 0;
   if (full_source_.empty() && empty) {
     full_source_ = pick_full_source();
   }
@@ -80,16 +79,16 @@
   return full_source_is_read() ? records::PULL_KEYS : records::PULL_STATE;
 }
 
-// True as well if there is nothing more to wait for from that voter.
+// Also true if that voter was replaced, removed, or has not replied recently.
 bool store_reader::full_source_is_read() const {
   const store_peer* const source = peers_.find(full_source_);
   return source == nullptr || source->read_to_end ||
          source->id_at_address != full_source_ ||
-         loop_.now_ms() - source->last_reply_ms >= calm_pull_period_ms;
+         loop_.now_ms() - source->last_reply_ms >= idle_pull_period_ms;
 }
 
-// The voter that is read in full. Stores that learn at the same time should not
-// all read the same one.
+// Selects the voter to read in full. The hash spreads stores that join at the
+// same time over the voters.
 std::string store_reader::pick_full_source() const {
   std::string picked;
   std::uint64_t least = 0;
@@ -111,29 +110,29 @@
 void store_reader::pull(const store_peer& from) {
   const records::PullKind kind = pull_kind(from);
   const std::string id = from.store.id();
-  reading& held = readings_[id];
+  read_progress& progress = progress_[id];
   records::PullRequest request;
-  request.set_log(held.log);
-  request.set_after(held.position);
+  request.set_log(progress.log);
+  request.set_after(progress.position);
   request.set_kind(kind);
   peers_.on_pull_started(id);
-  held.pulling = pool_.ask<records::PullReply>(
-      from.store.address(), "Pull", request, call_limit,
-      [this, id, kind](result<records::PullReply> answer) {
-        pulled(id, kind, std::move(answer));
+  progress.pulling = pool_.ask<records::PullReply>(
+      from.store.address(), "Pull", request, call_timeout,
+      [this, id, kind](result<records::PullReply> reply) {
+        on_pull_reply(id, kind, std::move(reply));
       });
 }
 
-void store_reader::pulled(const std::string& id, records::PullKind kind,
-                          result<records::PullReply> answer) {
-  if (!answer) {
+void store_reader::on_pull_reply(const std::string& id, records::PullKind kind,
+                                 result<records::PullReply> received) {
+  if (!received) {
     return;
   }
-  const records::PullReply& reply = answer.value();
+  const records::PullReply& reply = received.value();
   if (!peers_.on_pull_reply(id, reply, loop_.now_ms())) {
     return;
   }
-  readings_[id].retiring_boxes = {reply.retiring_boxes().begin(),
+  progress_[id].retiring_boxes = {reply.retiring_boxes().begin(),
                                   reply.retiring_boxes().end()};
   if (reply.group().epoch() > server_.state().group().epoch()) {
     server_.adopt(reply.group(), nullptr);
@@ -141,20 +140,20 @@
   if (kind == records::PULL_KEYS) {
     fetch_missing(id, reply);
   } else if (kind == records::PULL_RECORDS) {
-    take_pulled(id, reply);
+    store_pulled(id, reply);
   }
 }
 
-// The records of the listed keys that this store does not hold.
-store_reader::named_records store_reader::missing_of(
+// Requests the records of the listed keys that this store does not have.
+store_reader::named_records store_reader::find_missing(
     const records::PullReply& listed) const {
   named_records missing;
   missing.request.set_kind(records::PULL_NAMED);
   for (const std::string& key : listed.keys()) {
-    if (server_.book().has(key)) {
+    if (server_.index().has(key)) {
       continue;
     }
-    if (missing.request.keys_size() == most_named_records) {
+    if (missing.request.keys_size() == max_named_records) {
       missing.all = false;
       break;
     }
@@ -165,56 +164,58 @@
 
 void store_reader::fetch_missing(const std::string& id,
                                  const records::PullReply& listed) {
-  const named_records missing = missing_of(listed);
+  const named_records missing = find_missing(listed);
   if (missing.request.keys_size() == 0) {
-    read_up_to(id, listed);
+    record_progress(id, listed);
     return;
   }
   const store_peer* const from = peers_.find(id);
   if (from == nullptr) {
     return;
   }
-  readings_[id].pulling = pool_.ask<records::PullReply>(
-      from->store.address(), "Pull", missing.request, call_limit,
+  progress_[id].pulling = pool_.ask<records::PullReply>(
+      from->store.address(), "Pull", missing.request, call_timeout,
       [this, id, listed = records::PullReply(listed),
-       all = missing.all](const result<records::PullReply>& answer) {
-        if (!answer || answer.value().store() != id) {
+       all = missing.all](const result<records::PullReply>& reply) {
+        if (!reply || reply.value().store() != id) {
           return;
         }
-        server_.take(answer.value(), [this, id, listed, all] {
-          missing_taken(id, listed, all);
+        server_.store_pulled(reply.value(), [this, id, listed, all] {
+          on_missing_stored(id, listed, all);
         });
       });
 }
 
-void store_reader::missing_taken(const std::string& id,
-                                 const records::PullReply& listed, bool all) {
+void store_reader::on_missing_stored(const std::string& id,
+                                     const records::PullReply& listed,
+                                     bool all) {
   const store_peer* const from = peers_.find(id);
   if (all) {
-    read_up_to(id, listed);
+    record_progress(id, listed);
   } else if (from != nullptr) {
     pull(*from);
   }
 }
 
-void store_reader::take_pulled(const std::string& id,
-                               const records::PullReply& reply) {
+void store_reader::store_pulled(const std::string& id,
+                                const records::PullReply& reply) {
   records::PullReply reached;
   reached.set_log(reply.log());
   reached.set_position(reply.position());
   reached.set_more(reply.more());
-  server_.take(reply, [this, id, reached] { read_up_to(id, reached); });
+  server_.store_pulled(reply,
+                       [this, id, reached] { record_progress(id, reached); });
 }
 
-// Everything up to the position is on this store's disk.
-void store_reader::read_up_to(const std::string& id,
-                              const records::PullReply& reply) {
+// All records up to the position are on this store's disk.
+void store_reader::record_progress(const std::string& id,
+                                   const records::PullReply& reply) {
   const store_peer* const from = peers_.find(id);
   if (from == nullptr) {
     return;
   }
-  readings_[id].log = reply.log();
-  readings_[id].position = reply.position();
+  progress_[id].log = reply.log();
+  progress_[id].position = reply.position();
   peers_.on_records_stored(id, !reply.more());
   if (reply.more()) {
     pull(*from);
@@ -227,7 +228,7 @@
   const records::Group& group = server_.state().group();
   for (const auto& [id, each] : peers_.all()) {
     const bool previous = find_store(group.previous_voters(), id) != nullptr;
-    if (previous && !each.fenced && !readings_[id].fencing.running()) {
+    if (previous && !each.fenced && !progress_[id].fencing.running()) {
       fence(each);
     }
   }
@@ -238,10 +239,10 @@
   *request.mutable_group() = server_.state().group();
   const std::string id = voter.store.id();
   const std::uint64_t epoch = server_.state().group().epoch();
-  readings_[id].fencing = pool_.ask<records::FenceReply>(
-      voter.store.address(), "Fence", request, call_limit,
-      [this, id, epoch](result<records::FenceReply> answer) {
-        if (answer && peers_.on_fence_reply(id, answer.value(), epoch)) {
+  progress_[id].fencing = pool_.ask<records::FenceReply>(
+      voter.store.address(), "Fence", request, call_timeout,
+      [this, id, epoch](result<records::FenceReply> reply) {
+        if (reply && peers_.on_fence_reply(id, reply.value(), epoch)) {
           pull(*peers_.find(id));
         }
       });
--- a/test/segment_log_test.cc
+++ b/test/segment_log_test.cc
@@ -1,5 +1,5 @@
-// Records in files that are appended to and dropped whole, also when the power
-// goes at any moment.
+// Segment log: reading, removal of files, and recovery after a power loss at
+// any call.
 #include "trayrock/internal/records/segment_log.h"
 
 #include <set>
@@ -12,7 +12,7 @@
 
 using contents = std::map<std::string, std::string>;
 
-std::unique_ptr<segment_log> opened(disk_files& files, contents& seen) {
+std::unique_ptr<segment_log> open_log(disk_files& files, contents& seen) {
   result<std::unique_ptr<segment_log>> log = segment_log::open(
       files, [&](std::string_view key, std::string_view value) {
         seen[std::string(key)] = std::string(value);
@@ -21,12 +21,12 @@
   return std::move(log.value());
 }
 
-// Writes records durably and takes them into the index.
+// Writes records durably and adds them to the index.
 void write(segment_log& log, const std::vector<disk_record>& records) {
-  const result<std::vector<record_place>> places = log.append(records);
-  CPPUNIT_ASSERT(places.has_value());
+  const result<std::vector<record_location>> locations = log.append(records);
+  CPPUNIT_ASSERT(locations.has_value());
   CPPUNIT_ASSERT(!log.sync());
-  log.keep(records, places.value());
+  log.add_to_index(records, locations.value());
 }
 
 disk_record big(int number) {
@@ -37,22 +37,22 @@
   CPPUNIT_TEST_SUITE(segment_log_test);
   CPPUNIT_TEST(record_is_read_back);
   CPPUNIT_TEST(long_record_is_read_back);
-  CPPUNIT_TEST(records_are_there_after_a_restart);
-  CPPUNIT_TEST(later_record_of_a_key_counts);
-  CPPUNIT_TEST(file_goes_with_its_last_record);
-  CPPUNIT_TEST(file_that_is_written_to_stays);
+  CPPUNIT_TEST(records_are_read_after_a_restart);
+  CPPUNIT_TEST(later_record_of_a_key_is_read);
+  CPPUNIT_TEST(file_is_removed_with_its_last_record);
+  CPPUNIT_TEST(current_file_is_not_removed);
   CPPUNIT_TEST(nothing_synced_is_lost_at_any_loss_of_power);
   CPPUNIT_TEST(one_sync_covers_all_files_before_it);
-  CPPUNIT_TEST(files_of_another_format_are_refused);
-  CPPUNIT_TEST(file_with_another_head_is_refused);
-  CPPUNIT_TEST(damaged_record_is_not_handed_out);
+  CPPUNIT_TEST(files_of_another_format_are_rejected);
+  CPPUNIT_TEST(file_with_another_header_is_rejected);
+  CPPUNIT_TEST(damaged_record_is_not_returned);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void record_is_read_back() {
     volatile_disk disk(1);
     contents seen;
-    const auto log = opened(disk, seen);
+    const auto log = open_log(disk, seen);
     write(*log, {{"a", "one"}, {"b", "two"}});
     CPPUNIT_ASSERT_EQUAL(std::string("two"), log->read("b").value());
     CPPUNIT_ASSERT(!log->read("c").has_value());
@@ -61,44 +61,44 @@
   void long_record_is_read_back() {
     volatile_disk disk(1);
     contents seen;
-    const auto log = opened(disk, seen);
+    const auto log = open_log(disk, seen);
     write(*log, {big(1)});
     CPPUNIT_ASSERT_EQUAL(big(1).value, log->read("key-1").value());
   }
 
-  void records_are_there_after_a_restart() {
+  void records_are_read_after_a_restart() {
     volatile_disk disk(1);
     contents seen;
     {
-      const auto log = opened(disk, seen);
+      const auto log = open_log(disk, seen);
       write(*log, {{"a", "one"}});
       write(*log, {{"b", ""}});
     }
-    const auto log = opened(disk, seen);
+    const auto log = open_log(disk, seen);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, seen.size());
     CPPUNIT_ASSERT_EQUAL(std::string("one"), log->read("a").value());
     write(*log, {{"c", "three"}});
     CPPUNIT_ASSERT_EQUAL(std::string("three"), log->read("c").value());
   }
 
-  void later_record_of_a_key_counts() {
+  void later_record_of_a_key_is_read() {
     volatile_disk disk(1);
     contents seen;
     {
-      const auto log = opened(disk, seen);
+      const auto log = open_log(disk, seen);
       write(*log, {{"state", "old"}});
       write(*log, {{"state", "new"}});
       CPPUNIT_ASSERT_EQUAL(std::string("new"), log->read("state").value());
     }
-    const auto log = opened(disk, seen);
+    const auto log = open_log(disk, seen);
     CPPUNIT_ASSERT_EQUAL(std::string("new"), seen["state"]);
     CPPUNIT_ASSERT_EQUAL(std::string("new"), log->read("state").value());
   }
 
-  void file_goes_with_its_last_record() {
+  void file_is_removed_with_its_last_record() {
     volatile_disk disk(1);
     contents seen;
-    const auto log = opened(disk, seen);
+    const auto log = open_log(disk, seen);
     const std::vector<std::string> keys = fill_two_files(*log);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, log->segments());
     log->erase(keys);
@@ -107,10 +107,10 @@
     CPPUNIT_ASSERT(!log->read(keys.front()).has_value());
   }
 
-  void file_that_is_written_to_stays() {
+  void current_file_is_not_removed() {
     volatile_disk disk(1);
     contents seen;
-    const auto log = opened(disk, seen);
+    const auto log = open_log(disk, seen);
     write(*log, {{"a", "one"}});
     const std::vector<std::string> all{"a"};
     log->erase(all);
@@ -118,20 +118,20 @@
     CPPUNIT_ASSERT_EQUAL(std::string("two"), log->read("b").value());
   }
 
-  // Power goes at each of the calls that change the disk, over a run that fills
-  // several files, drops some and rewrites a key. What was synced is there, and
-  // what is there is what was written.
+  // Loses power at each call that changes the disk, in a run that fills several
+  // files, removes some and rewrites a key. All synced records must be read,
+  // and no record that was not written.
   void nothing_synced_is_lost_at_any_loss_of_power() {
-    constexpr int calls_of_a_run = 170;
-    for (int cut = 0; cut < calls_of_a_run; ++cut) {
-      volatile_disk disk(static_cast<std::uint64_t>(cut));
-      disk.power().calls_left = cut;
+    constexpr int calls_per_run = 170;
+    for (int lost_at = 0; lost_at < calls_per_run; ++lost_at) {
+      volatile_disk disk(static_cast<std::uint64_t>(lost_at));
+      disk.power().calls_left = lost_at;
       contents written;
-      const contents synced = run_until_cut(disk, written);
+      const contents synced = run_until_power_loss(disk, written);
       disk.restore();
       contents seen;
-      const auto log = opened(disk, seen);
-      const std::string where = "power lost at call " + std::to_string(cut);
+      const auto log = open_log(disk, seen);
+      const std::string where = "power lost at call " + std::to_string(lost_at);
       for (const auto& [key, value] : synced) {
         TRAYROCK_CHECK(seen.contains(key), where << ": lost " << key);
         TRAYROCK_CHECK(log->read(key) == seen[key],
@@ -150,11 +150,11 @@
   }
 
   void one_sync_covers_all_files_before_it() {
-    constexpr int records = 90;  // of two files and a part of the third
+    constexpr int records = 90;  // two files and part of a third
     volatile_disk disk(3);
     contents seen;
     {
-      const auto log = opened(disk, seen);
+      const auto log = open_log(disk, seen);
       for (int i = 0; i < records; ++i) {
         const std::vector<disk_record> one{big(i)};
         CPPUNIT_ASSERT(log->append(one).has_value());
@@ -162,11 +162,11 @@
       CPPUNIT_ASSERT(!log->sync());
     }
     disk.restore();
-    opened(disk, seen);
+    open_log(disk, seen);
     CPPUNIT_ASSERT_EQUAL(std::size_t{records}, seen.size());
   }
 
-  void files_of_another_format_are_refused() {
+  void files_of_another_format_are_rejected() {
     volatile_disk disk(1);
     disk.put("CURRENT", "MANIFEST-000002\n");
     const auto log =
@@ -175,7 +175,7 @@
     CPPUNIT_ASSERT(log.error() == errc::disk_format);
   }
 
-  void file_with_another_head_is_refused() {
+  void file_with_another_header_is_rejected() {
     volatile_disk disk(1);
     disk.put("00000001.log", "trayrock-records-9\nand so on");
     const auto log =
@@ -184,25 +184,25 @@
     CPPUNIT_ASSERT(log.error() == errc::disk_format);
   }
 
-  void damaged_record_is_not_handed_out() {
+  void damaged_record_is_not_returned() {
     volatile_disk disk(1);
     contents seen;
     std::string bytes;
     {
-      const auto log = opened(disk, seen);
+      const auto log = open_log(disk, seen);
       write(*log, {{"a", "one"}, {"b", "two"}});
       bytes = disk.open("00000001.log").value()->read_all().value();
     }
-    bytes[bytes.size() - 1] = 'X';  // of the last value
+    bytes[bytes.size() - 1] = 'X';  // in the last value
     disk.put("00000001.log", bytes);
     contents after;
-    const auto log = opened(disk, after);
+    const auto log = open_log(disk, after);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, after.size());
     CPPUNIT_ASSERT(!log->read("b").has_value());
   }
 
  private:
-  // Fills one file and begins another; returns the keys of the first.
+  // Fills one file and starts another; returns the keys in the first.
   static std::vector<std::string> fill_two_files(segment_log& log) {
     std::vector<std::string> keys;
     int number = 0;
@@ -216,30 +216,30 @@
     return keys;
   }
 
-  static std::string synced_state(const contents& held) {
-    const auto found = held.find("state");
-    return found == held.end() ? std::string() : found->second;
+  static std::string synced_state(const contents& from) {
+    const auto found = from.find("state");
+    return found == from.end() ? std::string() : found->second;
   }
 
-  // Returns what was synced and not erased before the power went; `written` is
-  // all that was ever handed to the log.
-  static contents run_until_cut(volatile_disk& disk, contents& written) {
+  // Returns the records that were synced and not erased before the power loss;
+  // `written` receives all records that were passed to the log.
+  static contents run_until_power_loss(volatile_disk& disk, contents& written) {
     contents ignored;
-    const auto log = opened(disk, ignored);
+    const auto log = open_log(disk, ignored);
     contents synced;
     for (int i = 10; i < 90 && !disk.power().off; ++i) {
-      // The values of the state sort as they were written.
+      // The values of the state sort in the order of writing.
       const std::vector<disk_record> batch{big(i),
                                            {"state", std::to_string(i)}};
       for (const disk_record& each : batch) {
         written[each.key] = each.value;
       }
-      const auto places = log->append(batch);
+      const auto locations = log->append(batch);
       const bool failed = static_cast<bool>(log->sync());
-      if (disk.power().off || failed || !places) {
+      if (disk.power().off || failed || !locations) {
         break;
       }
-      log->keep(batch, places.value());
+      log->add_to_index(batch, locations.value());
       for (const disk_record& each : batch) {
         synced[each.key] = each.value;
       }
