--- a/test/permit_client_test.cc
+++ b/test/permit_client_test.cc
@@ -1,9 +1,5 @@
-// Permits for a gateway that cannot reach the record stores directly.
-//
-// On a day on which seven of twenty gateways were cut off from all record
-// stores for twelve seconds, each of their requests of a limited workspace
-// asked five stores in vain, 150 ms each, before it went by another gateway:
-// the day's worth fell from 0.944 to 0.842.
+// Permits for a gateway that cannot reach the record stores directly: guards
+// against requests that time out at every store before a relay is used.
 #include "trayrock/internal/records/permit_client.h"
 
 #include <optional>
@@ -14,42 +10,42 @@
 namespace trayrock::testing {
 namespace {
 
-constexpr milliseconds longest_run{10000};
+constexpr milliseconds max_test_duration{10000};
 constexpr int store_count = 5;
 
 std::string local(int port) { return "127.0.0.1:" + std::to_string(port); }
 
 class permit_client_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(permit_client_test);
-  CPPUNIT_TEST(two_silent_stores_send_the_request_by_a_relay);
-  CPPUNIT_TEST(answer_of_a_newer_group_is_taken);
+  CPPUNIT_TEST(request_uses_a_relay_after_two_unanswered_calls);
+  CPPUNIT_TEST(newer_group_in_a_reply_is_adopted);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void two_silent_stores_send_the_request_by_a_relay() {
+  void request_uses_a_relay_after_two_unanswered_calls() {
     event_loop loop;
     rpc_pool pool(loop, {});
     metrics_registry metrics;
     record_client records(loop, pool, "dc-0", metrics);
     const std::vector<int> ports = free_ports(store_count + 1);
-    rpc_server stores(loop, {});  // take calls and leave them unanswered
-    int direct = 0;
+    rpc_server stores(loop, {});  // accept calls without replying
+    int direct_calls = 0;
     std::vector<rpc_reply_ptr> unanswered;
     stores.handle_typed<records::PermitRequest>(
         "Permit", [&](records::PermitRequest&, const rpc_reply_ptr& reply) {
-          ++direct;
+          ++direct_calls;
           unanswered.push_back(reply);
         });
     CPPUNIT_ASSERT(stores.listen(address::parse(local(ports[0])).value()));
     rpc_server relay(loop, {});
-    std::string asked_for;
+    std::string relayed_workspace;
     relay.handle_typed<records::RelayRequest>(
         "Relay",
         [&](records::RelayRequest& request, const rpc_reply_ptr& reply) {
-          asked_for = request.permit().workspace();
-          records::PermitReply answer;
-          answer.set_given(true);
-          reply->send(answer);
+          relayed_workspace = request.permit().workspace();
+          records::PermitReply message;
+          message.set_given(true);
+          reply->send(message);
           reply->finish();
         });
     CPPUNIT_ASSERT(relay.listen(address::parse(local(ports[1])).value()));
@@ -59,14 +55,14 @@
                         [](const std::string&, relay_failure) {},
                         [](const std::string&) {}});
 
-    const permit_answer said = acquire(loop, permits);
+    const permit_answer reply = acquire(loop, permits);
 
-    CPPUNIT_ASSERT(std::holds_alternative<permit>(said));
-    CPPUNIT_ASSERT_EQUAL(std::string("growers"), asked_for);
-    CPPUNIT_ASSERT_EQUAL(2, direct);
+    CPPUNIT_ASSERT(std::holds_alternative<permit>(reply));
+    CPPUNIT_ASSERT_EQUAL(std::string("growers"), relayed_workspace);
+    CPPUNIT_ASSERT_EQUAL(2, direct_calls);
   }
 
-  void answer_of_a_newer_group_is_taken() {
+  void newer_group_in_a_reply_is_adopted() {
     event_loop loop;
     rpc_pool pool(loop, {});
     metrics_registry metrics;
@@ -77,23 +73,23 @@
     stores.handle_typed<records::PermitRequest>(
         "Permit",
         [&](records::PermitRequest& request, const rpc_reply_ptr& reply) {
-          records::PermitReply answer;
+          records::PermitReply message;
           if (request.epoch() < newer.epoch()) {
-            answer.set_outcome(records::OUTCOME_STALE_EPOCH);
-            *answer.mutable_group() = newer;
+            message.set_outcome(records::OUTCOME_STALE_EPOCH);
+            *message.mutable_group() = newer;
           } else {
-            answer.set_given(true);
+            message.set_given(true);
           }
-          reply->send(answer);
+          reply->send(message);
           reply->finish();
         });
     CPPUNIT_ASSERT(stores.listen(address::parse(local(ports[0])).value()));
     records.adopt(group_at(local(ports[0]), 1));
     permit_client permits(loop, pool, records, metrics, "dc-0");
 
-    const permit_answer said = acquire(loop, permits);
+    const permit_answer reply = acquire(loop, permits);
 
-    CPPUNIT_ASSERT(std::holds_alternative<permit>(said));
+    CPPUNIT_ASSERT(std::holds_alternative<permit>(reply));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, records.group().epoch());
   }
 
@@ -113,18 +109,18 @@
   }
 
   static permit_answer acquire(event_loop& loop, permit_client& permits) {
-    std::optional<permit_answer> seen;
+    std::optional<permit_answer> received;
     permits.acquire({"growers", {10, 10, 1}, permit_use::regular},
-                    milliseconds(1500), [&](const permit_answer& said) {
-                      seen = said;
+                    milliseconds(1500), [&](const permit_answer& reply) {
+                      received = reply;
                       loop.stop();
                     });
-    const timer limit = loop.after(longest_run, [&] { loop.stop(); });
-    if (!seen) {
+    const timer limit = loop.after(max_test_duration, [&] { loop.stop(); });
+    if (!received) {
       loop.run();
     }
-    TRAYROCK_CHECK(seen.has_value(), "expected an answer, seen none");
-    return *seen;
+    TRAYROCK_CHECK(received.has_value(), "expected a reply, received none");
+    return *received;
   }
 };
 
--- a/test/record_book_test.cc
+++ b/test/record_book_test.cc
@@ -1,4 +1,4 @@
-// What a record store holds and forgets, without disk or clock.
+// Index of a record store: adding, reading and expiry of records.
 #include "trayrock/internal/records/record_book.h"
 
 #include <map>
@@ -40,22 +40,22 @@
   CPPUNIT_TEST(texts_are_read_from_the_disk_once_durable);
   CPPUNIT_TEST(record_from_the_disk_keeps_no_text_in_memory);
   CPPUNIT_TEST(turn_settles_its_reservation);
-  CPPUNIT_TEST(reading_goes_on_from_a_position);
-  CPPUNIT_TEST(old_records_and_their_programs_go);
+  CPPUNIT_TEST(reading_resumes_from_a_position);
+  CPPUNIT_TEST(old_records_and_their_programs_expire);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void record_is_added_once() {
-    CPPUNIT_ASSERT(book_.add(reservation("a", 10), 0));
-    CPPUNIT_ASSERT(!book_.add(reservation("a", 99), 0));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, book_.usage("p")[0].reserved);
-    CPPUNIT_ASSERT(!book_.add(records::Record(), 0));
+    CPPUNIT_ASSERT(index_.add(reservation("a", 10), 0));
+    CPPUNIT_ASSERT(!index_.add(reservation("a", 99), 0));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, index_.usage("p")[0].reserved);
+    CPPUNIT_ASSERT(!index_.add(records::Record(), 0));
   }
 
   void chain_is_joined_from_the_oldest_turn() {
-    book_.add(turn("a", "", "one ", "1\n"), 0);
-    book_.add(turn("b", "a", "two ", "2\n"), 0);
-    const turn_chain chain = book_.chain("b");
+    index_.add(turn("a", "", "one ", "1\n"), 0);
+    index_.add(turn("b", "a", "two ", "2\n"), 0);
+    const turn_chain chain = index_.chain("b");
 
     CPPUNIT_ASSERT(chain.found);
     CPPUNIT_ASSERT_EQUAL(std::string("one 1\ntwo 2\n"), chain.text);
@@ -64,9 +64,9 @@
   }
 
   void chain_with_a_gap_names_the_missing_turn() {
-    book_.add(turn("b", "a", "two ", "2\n"), 0);
-    const turn_chain partial = book_.chain("b");
-    const turn_chain missing = book_.chain("z");
+    index_.add(turn("b", "a", "two ", "2\n"), 0);
+    const turn_chain partial = index_.chain("b");
+    const turn_chain missing = index_.chain("z");
 
     CPPUNIT_ASSERT(partial.found);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), partial.gap);
@@ -76,68 +76,67 @@
 
   void texts_are_read_from_the_disk_once_durable() {
     const records::Record record = turn("a", "", "one ", "1\n");
-    book_.add(record, 0);
-    CPPUNIT_ASSERT_EQUAL(std::string("one 1\n"), book_.chain("a").text);
+    index_.add(record, 0);
+    CPPUNIT_ASSERT_EQUAL(std::string("one 1\n"), index_.chain("a").text);
     CPPUNIT_ASSERT_EQUAL(0, reads_);
 
     disk_[record_key(record)] = record;
-    book_.durable(record_key(record));
-    CPPUNIT_ASSERT_EQUAL(std::string("one 1\n"), book_.chain("a").text);
+    index_.durable(record_key(record));
+    CPPUNIT_ASSERT_EQUAL(std::string("one 1\n"), index_.chain("a").text);
     CPPUNIT_ASSERT_EQUAL(1, reads_);
   }
 
-  // A store that starts reads tens of thousands of these, in 98 ms of processor
-  // time for 48,000 where copying each text first took 162 ms.
+  // Guards against copying the text of each record when a store starts.
   void record_from_the_disk_keeps_no_text_in_memory() {
     const records::Record record = turn("a", "", "one ", "1\n");
     disk_[record_key(record)] = record;
-    CPPUNIT_ASSERT(book_.add_durable(record, 0));
-    CPPUNIT_ASSERT(!book_.add_durable(record, 0));
+    CPPUNIT_ASSERT(index_.add_durable(record, 0));
+    CPPUNIT_ASSERT(!index_.add_durable(record, 0));
 
-    CPPUNIT_ASSERT_EQUAL(std::string("one 1\n"), book_.chain("a").text);
+    CPPUNIT_ASSERT_EQUAL(std::string("one 1\n"), index_.chain("a").text);
     CPPUNIT_ASSERT_EQUAL(1, reads_);
   }
 
   void turn_settles_its_reservation() {
-    book_.add(reservation("a", 10), 0);
-    book_.add(turn("a", "", "one ", "1\n"), 0);
-    const turn_usage usage = book_.usage("p")[0];
+    index_.add(reservation("a", 10), 0);
+    index_.add(turn("a", "", "one ", "1\n"), 0);
+    const turn_usage usage = index_.usage("p")[0];
 
     CPPUNIT_ASSERT(usage.settled);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, usage.used);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, usage.reserved);
   }
 
-  void reading_goes_on_from_a_position() {
-    book_.add(reservation("a", 10), 5);
-    book_.add(reservation("b", 10), 6);
-    const auto first = book_.after(0, 1);
-    const auto rest = book_.after(first[0].position, 10);
+  void reading_resumes_from_a_position() {
+    index_.add(reservation("a", 10), 5);
+    index_.add(reservation("b", 10), 6);
+    const auto first = index_.after(0, 1);
+    const auto rest = index_.after(first[0].position, 10);
 
     CPPUNIT_ASSERT_EQUAL(record_key(reservation("a", 0)), first[0].key);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, rest.size());
     CPPUNIT_ASSERT_EQUAL(record_key(reservation("b", 0)), rest[0].key);
-    CPPUNIT_ASSERT_EQUAL(book_.position(), rest[0].position);
-    CPPUNIT_ASSERT(book_.after(book_.position(), 10).empty());
+    CPPUNIT_ASSERT_EQUAL(index_.position(), rest[0].position);
+    CPPUNIT_ASSERT(index_.after(index_.position(), 10).empty());
   }
 
-  void old_records_and_their_programs_go() {
-    book_.add(reservation("a", 10), 0);
-    book_.add(turn("a", "", "one ", "1\n"), 0);
-    book_.add(reservation("b", 10), 100 * second);
-    CPPUNIT_ASSERT(book_.expire(119 * second).empty());
-    const auto gone = book_.expire(121 * second);
-
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, gone.size());
-    CPPUNIT_ASSERT(!book_.chain("a").found);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book_.usage("p").size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book_.after(0, 10).size());
+  void old_records_and_their_programs_expire() {
+    index_.add(reservation("a", 10), 0);
+    index_.add(turn("a", "", "one ", "1\n"), 0);
+    index_.add(reservation("b", 10), 100 * second);
+    CPPUNIT_ASSERT(index_.expire(119 * second).empty());
+    const auto expired = index_.expire(121 * second);
+
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, expired.size());
+    CPPUNIT_ASSERT(!index_.chain("a").found);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, index_.usage("p").size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, index_.after(0, 10).size());
   }
 
  private:
   std::map<std::string, records::Record> disk_;
   int reads_ = 0;
-  record_book book_{[this](const std::string& key) {
+  record_book index_{[this](const std::string& key) {
     ++reads_;
     return std::optional<records::Record>(disk_.at(key));
   }};
--- a/test/record_client_test.cc
+++ b/test/record_client_test.cc
@@ -1,4 +1,4 @@
-// The client of the record stores against stores in the same process.
+// Client of the record stores, against stores in the same process.
 #include "trayrock/internal/records/record_client.h"
 
 #include <filesystem>
@@ -11,12 +11,12 @@
 namespace trayrock::testing {
 namespace {
 
-constexpr milliseconds patient{5000};
-constexpr milliseconds longest_run{10000};
+constexpr milliseconds call_timeout{5000};
+constexpr milliseconds max_test_duration{10000};
 
 std::string local(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-// One store with a disk and a port of its own.
+// A store with its own disk and port.
 struct store {
   store(event_loop& loop, const std::string& folder_in, int port_in)
       : folder(folder_in),
@@ -59,15 +59,15 @@
 class record_client_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(record_client_test);
   CPPUNIT_TEST(two_of_three_stores_make_a_record_durable);
-  CPPUNIT_TEST(one_of_three_stores_does_not);
+  CPPUNIT_TEST(one_of_three_stores_does_not_make_a_record_durable);
   CPPUNIT_TEST(reservations_see_each_other);
-  CPPUNIT_TEST(unknown_turn_needs_two_denials);
+  CPPUNIT_TEST(missing_turn_requires_replies_of_a_read_quorum);
   CPPUNIT_TEST(chain_is_read_although_the_nearest_voter_lost_its_disk);
-  CPPUNIT_TEST(operation_goes_on_in_the_next_epoch);
-  CPPUNIT_TEST(stores_out_of_reach_are_reached_by_a_relay);
-  CPPUNIT_TEST(relay_that_cannot_reach_the_store_is_left_for_another);
-  CPPUNIT_TEST(lost_voter_is_not_asked_over_and_over);
-  CPPUNIT_TEST(slow_stores_are_not_asked_by_relays_as_well);
+  CPPUNIT_TEST(operation_continues_in_the_next_epoch);
+  CPPUNIT_TEST(unreachable_stores_are_called_through_a_relay);
+  CPPUNIT_TEST(relay_that_cannot_reach_the_store_is_replaced);
+  CPPUNIT_TEST(replaced_store_is_retried_at_a_low_rate);
+  CPPUNIT_TEST(slow_stores_are_not_called_through_relays);
   CPPUNIT_TEST(records_survive_a_restart_of_the_stores);
   CPPUNIT_TEST_SUITE_END();
 
@@ -98,7 +98,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("one"), read("t1").text);
   }
 
-  void one_of_three_stores_does_not() {
+  void one_of_three_stores_does_not_make_a_record_durable() {
     start_group();
     stores_[1].reset();
     stores_[2].reset();
@@ -111,9 +111,9 @@
     start_group();
     std::optional<result<reserved_turn>> first;
     std::optional<result<reserved_turn>> second;
-    client_->reserve(reservation("a1", 60), "", patient,
+    client_->reserve(reservation("a1", 60), "", call_timeout,
                      [&](const result<reserved_turn>& made) { first = made; });
-    client_->reserve(reservation("a2", 60), "", patient,
+    client_->reserve(reservation("a2", 60), "", call_timeout,
                      [&](const result<reserved_turn>& made) {
                        second = made;
                        loop_->stop();
@@ -130,36 +130,36 @@
                    "expected at most one of two to fit");
   }
 
-  void unknown_turn_needs_two_denials() {
+  void missing_turn_requires_replies_of_a_read_quorum() {
     start_group();
     CPPUNIT_ASSERT(!read("t1").chain_found);
     stores_[1].reset();
     stores_[2].reset();
-    std::optional<result<reserved_turn>> answer;
+    std::optional<result<reserved_turn>> reply;
     client_->reserve({}, "t1", milliseconds(300),
                      [&](const result<reserved_turn>& made) {
-                       answer = made;
+                       reply = made;
                        loop_->stop();
                      });
     run();
-    CPPUNIT_ASSERT(answer.has_value());
+    CPPUNIT_ASSERT(reply.has_value());
     CPPUNIT_ASSERT_EQUAL(make_error_code(errc::history_unavailable),
-                         answer->error());
+                         reply->error());
   }
 
-  // Until the lost voter was
-  // replaced, 14 s, gateways that were near to it could not read any chain.
+  // Guards against failed reads in the data centre of a voter that lost its
+  // disk, until that voter is replaced.
   void chain_is_read_although_the_nearest_voter_lost_its_disk() {
     start_group();
     CPPUNIT_ASSERT_EQUAL(std::error_code(), keep(turn("t1", "", "one")));
     stores_[0].reset();
     stores_[0] = std::make_unique<store>(*loop_, folder_ + "/empty", ports_[0]);
-    // The connection to the box is made again before the chain is asked for.
+    // Reconnects to the box before the chain is read.
     CPPUNIT_ASSERT_EQUAL(std::error_code(), keep(turn("t2", "t1", "two")));
     CPPUNIT_ASSERT_EQUAL(std::string("one"), read("t1").text);
   }
 
-  void operation_goes_on_in_the_next_epoch() {
+  void operation_continues_in_the_next_epoch() {
     start_group();
     CPPUNIT_ASSERT_EQUAL(std::error_code(), keep(turn("t1", "", "one ")));
     records::Group next = client_->group();
@@ -172,13 +172,13 @@
     CPPUNIT_ASSERT_EQUAL(std::string("one two"), read("t2").text);
   }
 
-  // A gateway that was cut off from the
-  // stores, but not from other gateways, refused every turn.
-  void stores_out_of_reach_are_reached_by_a_relay() {
+  // Guards against rejected turns at a gateway that is partitioned from the
+  // stores, but not from other gateways.
+  void unreachable_stores_are_called_through_a_relay() {
     start_group();
-    records::Group seen = client_->group();
+    records::Group unreachable_group = client_->group();
     std::map<std::string, std::string> real;
-    for (records::Store& each : *seen.mutable_voters()) {
+    for (records::Store& each : *unreachable_group.mutable_voters()) {
       const std::string nowhere = local(ports_[3]);
       real[nowhere + each.id()] = each.address();
       each.set_address(nowhere);
@@ -190,63 +190,65 @@
           auto call = std::make_shared<rpc_call>();
           *call = pool_->ask<records::WriteReply>(
               real.at(request.address() + request.write().store()), "Write",
-              request.write(), patient,
-              [reply, call](const result<records::WriteReply>& answer) {
-                reply->send(answer.value());
+              request.write(), call_timeout,
+              [reply, call](const result<records::WriteReply>& received) {
+                reply->send(received.value());
                 reply->finish();
               });
         });
     CPPUNIT_ASSERT(relay.listen(address::parse(local(ports_[4])).value()));
-    record_client cut(*loop_, *pool_, "dc-0", metrics_);
-    cut.use_relays(
+    record_client isolated(*loop_, *pool_, "dc-0", metrics_);
+    isolated.use_relays(
         {[&] { return local(ports_[4]); }, [](const auto&...) {}, {}});
-    cut.adopt(seen);
-    std::optional<std::error_code> kept;
-    cut.keep(turn("t1", "", "one"), patient, [&](std::error_code failed) {
-      kept = failed;
-      loop_->stop();
-    });
+    isolated.adopt(unreachable_group);
+    std::optional<std::error_code> stored;
+    isolated.keep(turn("t1", "", "one"), call_timeout,
+                  [&](std::error_code failed) {
+                    stored = failed;
+                    loop_->stop();
+                  });
     run();
-    CPPUNIT_ASSERT(kept.has_value());
-    CPPUNIT_ASSERT_EQUAL(std::error_code(), *kept);
+    CPPUNIT_ASSERT(stored.has_value());
+    CPPUNIT_ASSERT_EQUAL(std::error_code(), *stored);
   }
 
-  // Gateways that were cut off went
-  // on asking a peer that was cut off as well, and refused turns for seconds.
-  void relay_that_cannot_reach_the_store_is_left_for_another() {
+  // Guards against a partitioned gateway that keeps using a relay that is
+  // partitioned from the stores as well.
+  void relay_that_cannot_reach_the_store_is_replaced() {
     records::Group group;
     group.set_epoch(1);
     group.set_tolerated(0);
     records::Store& voter = *group.add_voters();
     voter.set_id("far");
-    voter.set_address(local(ports_[3]));  // nobody listens there
-    const std::string cut_off = local(ports_[4]);
-    const std::string sound = local(ports_[5]);
-    rpc_server cut_off_relay(*loop_, {});
-    cut_off_relay.handle_typed<records::RelayRequest>(
+    voter.set_address(local(ports_[3]));  // no process listens there
+    const std::string unreachable_address = local(ports_[4]);
+    const std::string reachable_address = local(ports_[5]);
+    rpc_server isolated_relay(*loop_, {});
+    isolated_relay.handle_typed<records::RelayRequest>(
         "Relay", [](records::RelayRequest&, const rpc_reply_ptr& reply) {
           reply->finish();
         });
-    rpc_server sound_relay(*loop_, {});
-    sound_relay.handle_typed<records::RelayRequest>(
+    rpc_server reachable_relay(*loop_, {});
+    reachable_relay.handle_typed<records::RelayRequest>(
         "Relay", [](records::RelayRequest&, const rpc_reply_ptr& reply) {
           reply->send(records::WriteReply());
           reply->finish();
         });
-    CPPUNIT_ASSERT(cut_off_relay.listen(address::parse(cut_off).value()));
-    CPPUNIT_ASSERT(sound_relay.listen(address::parse(sound).value()));
-    std::string picked = cut_off;
+    CPPUNIT_ASSERT(
+        isolated_relay.listen(address::parse(unreachable_address).value()));
+    CPPUNIT_ASSERT(
+        reachable_relay.listen(address::parse(reachable_address).value()));
+    std::string picked = unreachable_address;
     relay_source relays;
     relays.pick = [&] { return picked; };
-    relays.failed = [&](const auto&...) { picked = sound; };
+    relays.failed = [&](const auto&...) { picked = reachable_address; };
     client_->use_relays(relays);
     client_->adopt(group);
     CPPUNIT_ASSERT_EQUAL(std::error_code(), keep(turn("t1", "", "one")));
   }
 
-  // Of hundreds of turns that wait, each asked a voter that had lost its disk
-  // sixteen times a second.
-  void lost_voter_is_not_asked_over_and_over() {
+  // Guards against a high rate of retries to a voter that lost its disk.
+  void replaced_store_is_retried_at_a_low_rate() {
     records::Group group;
     group.set_epoch(1);
     group.set_tolerated(0);
@@ -254,13 +256,13 @@
     voter.set_id("lost");
     voter.set_address(local(ports_[3]));
     rpc_server server(*loop_, {});
-    int asked = 0;
+    int requests = 0;
     server.handle_typed<records::WriteRequest>(
         "Write", [&](records::WriteRequest&, const rpc_reply_ptr& reply) {
-          ++asked;
-          records::WriteReply answer;
-          answer.set_outcome(records::OUTCOME_WRONG_STORE);
-          reply->send(answer);
+          ++requests;
+          records::WriteReply message;
+          message.set_outcome(records::OUTCOME_WRONG_STORE);
+          reply->send(message);
           reply->finish();
         });
     CPPUNIT_ASSERT(server.listen(address::parse(local(ports_[3])).value()));
@@ -268,13 +270,12 @@
     const std::error_code failed =
         keep(turn("t1", "", "one"), milliseconds(900));
     CPPUNIT_ASSERT_EQUAL(make_error_code(errc::not_durable), failed);
-    TRAYROCK_CHECK(asked >= 1 && asked <= 3,
-                   "expected one to three questions, seen " << asked);
+    TRAYROCK_CHECK(requests >= 1 && requests <= 3,
+                   "expected one to three requests, seen " << requests);
   }
 
-  // Stores that were slow were asked
-  // again by relays, which made them slower until nothing was served.
-  void slow_stores_are_not_asked_by_relays_as_well() {
+  // Guards against overload of slow stores by relayed copies of each call.
+  void slow_stores_are_not_called_through_relays() {
     constexpr milliseconds slow{200};
     records::Group group;
     group.set_epoch(1);
@@ -283,28 +284,28 @@
     voter.set_id("slow");
     voter.set_address(local(ports_[3]));
     rpc_server server(*loop_, {});
-    std::vector<timer> answers;
+    std::vector<timer> replies;
     server.handle_typed<records::WriteRequest>(
         "Write", [&](records::WriteRequest&, const rpc_reply_ptr& reply) {
-          answers.push_back(loop_->after(slow, [reply] {
+          replies.push_back(loop_->after(slow, [reply] {
             reply->send(records::WriteReply());
             reply->finish();
           }));
         });
     CPPUNIT_ASSERT(server.listen(address::parse(local(ports_[3])).value()));
-    int relays_asked = 0;
+    int relays_picked = 0;
     client_->use_relays({[&] {
-                           ++relays_asked;
+                           ++relays_picked;
                            return local(ports_[4]);
                          },
                          [](const auto&...) {},
                          {},
-                         longest_run});
+                         max_test_duration});
     client_->adopt(group);
     for (const char* attempt : {"t1", "t2", "t3"}) {
       CPPUNIT_ASSERT_EQUAL(std::error_code(), keep(turn(attempt, "", "one")));
     }
-    CPPUNIT_ASSERT_EQUAL(0, relays_asked);
+    CPPUNIT_ASSERT_EQUAL(0, relays_picked);
   }
 
   void records_survive_a_restart_of_the_stores() {
@@ -340,33 +341,34 @@
   }
 
   void run() {
-    const timer guard = loop_->after(longest_run, [this] { loop_->stop(); });
+    const timer limit =
+        loop_->after(max_test_duration, [this] { loop_->stop(); });
     loop_->run();
   }
 
   std::error_code keep(const records::Record& record,
-                       milliseconds limit = patient) {
-    std::optional<std::error_code> kept;
+                       milliseconds limit = call_timeout) {
+    std::optional<std::error_code> stored;
     client_->keep(record, limit, [&](std::error_code failed) {
-      kept = failed;
+      stored = failed;
       loop_->stop();
     });
     run();
-    CPPUNIT_ASSERT(kept.has_value());
-    return *kept;
+    CPPUNIT_ASSERT(stored.has_value());
+    return *stored;
   }
 
   reserved_turn read(const std::string& attempt) {
-    std::optional<result<reserved_turn>> answer;
-    client_->reserve({}, attempt, patient,
+    std::optional<result<reserved_turn>> reply;
+    client_->reserve({}, attempt, call_timeout,
                      [&](const result<reserved_turn>& made) {
-                       answer = made;
+                       reply = made;
                        loop_->stop();
                      });
     run();
-    CPPUNIT_ASSERT(answer.has_value());
-    CPPUNIT_ASSERT(answer->has_value());
-    return answer->value();
+    CPPUNIT_ASSERT(reply.has_value());
+    CPPUNIT_ASSERT(reply->has_value());
+    return reply->value();
   }
 
   std::string folder_;
--- a/test/record_stores_test.cc
+++ b/test/record_stores_test.cc
@@ -1,5 +1,5 @@
-// History that lasts: stores that die, lose their disks, are replaced or
-// retired, while programs go on.
+// Durability of history while stores crash, lose their disks, are replaced or
+// retire.
 #include <csignal>
 
 #include "service_deployment.h"
@@ -10,18 +10,18 @@
 
 class record_stores_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(record_stores_test);
-  CPPUNIT_TEST(history_survives_the_death_of_all_processes);
-  CPPUNIT_TEST(chain_is_read_from_stores_that_each_lack_a_part);
-  CPPUNIT_TEST(disks_may_be_lost_one_after_another);
-  CPPUNIT_TEST(new_store_takes_the_place_of_a_silent_one);
-  CPPUNIT_TEST(retired_store_hands_its_place_to_a_spare);
-  CPPUNIT_TEST(retired_store_leaves_a_smaller_group_without_a_spare);
-  CPPUNIT_TEST(group_survives_lost_answers_of_the_platform);
-  CPPUNIT_TEST(without_a_quorum_a_turn_is_refused_and_does_not_run);
+  CPPUNIT_TEST(history_survives_a_crash_of_all_processes);
+  CPPUNIT_TEST(chain_is_read_from_stores_that_each_lack_a_turn);
+  CPPUNIT_TEST(disks_are_lost_one_after_another);
+  CPPUNIT_TEST(spare_replaces_a_stopped_store);
+  CPPUNIT_TEST(spare_replaces_a_retired_store);
+  CPPUNIT_TEST(group_shrinks_when_a_store_retires_without_a_spare);
+  CPPUNIT_TEST(group_survives_lost_responses_of_the_platform);
+  CPPUNIT_TEST(turn_without_a_quorum_is_rejected_and_does_not_run);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void history_survives_the_death_of_all_processes() {
+  void history_survives_a_crash_of_all_processes() {
     service_deployment system;
     system.start_all();
     system.turn("gateway-1", "t1", "", "one ");
@@ -32,13 +32,13 @@
       system.start(each);
     }
     system.wait_ready("gateway-1");
-    CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, "t2", "t1").status);
+    CPPUNIT_ASSERT_EQUAL(200, turn_with_retries(system, "t2", "t1").status);
     check_body(system, "t2", "one t1-1\nt1-2\nt1-3\n");
   }
 
-  // Each of two voters had a gap, and
-  // both said that there was no such turn.
-  void chain_is_read_from_stores_that_each_lack_a_part() {
+  // Guards against a chain reported as missing when two voters each lack one of
+  // its turns.
+  void chain_is_read_from_stores_that_each_lack_a_turn() {
     service_options options;
     options.gateways = 3;
     service_deployment system(options);
@@ -49,7 +49,7 @@
     system.start("store-1");
     wait_for_voters(system, 3);
     system.kill("store-2");
-    CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, "t2", "t1").status);
+    CPPUNIT_ASSERT_EQUAL(200, turn_with_retries(system, "t2", "t1").status);
     system.start("store-2");
     // A gateway that has neither turn in its cache reads the chain.
     wait_until("the chain is read", [&] {
@@ -61,13 +61,14 @@
                    "expected the whole chain, seen " << body);
   }
 
-  void disks_may_be_lost_one_after_another() {
+  void disks_are_lost_one_after_another() {
     service_deployment system;
     system.start_all();
     std::string before;
     for (int round = 1; round <= 3; ++round) {
       const std::string attempt = "t" + std::to_string(round);
-      CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, attempt, before).status);
+      CPPUNIT_ASSERT_EQUAL(200,
+                           turn_with_retries(system, attempt, before).status);
       before = attempt;
       const json group = system.group();
       const std::string lost = "store-" + std::to_string(round);
@@ -76,7 +77,7 @@
                  [&] { return system.group()["epoch"] > group["epoch"]; });
       wait_counting(system);
     }
-    CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, "t4", "t3").status);
+    CPPUNIT_ASSERT_EQUAL(200, turn_with_retries(system, "t4", "t3").status);
     const std::string body = system.body_of("t4");
     for (const char* part : {"t1-1", "t2-1", "t3-3"}) {
       TRAYROCK_CHECK(body.find(part) != std::string::npos,
@@ -84,21 +85,21 @@
     }
   }
 
-  void new_store_takes_the_place_of_a_silent_one() {
+  void spare_replaces_a_stopped_store() {
     service_deployment system;
     system.start_all();
     system.turn("gateway-1", "t1", "", "one ");
     system.kill("store-2");
     system.add_store("store-4");
     system.start("store-4");
-    wait_until("store-4 votes", [&] { return votes(system, "store-4"); });
-    CPPUNIT_ASSERT(!votes(system, "store-2"));
+    wait_until("store-4 votes", [&] { return is_voter(system, "store-4"); });
+    CPPUNIT_ASSERT(!is_voter(system, "store-2"));
     wait_counting(system);
     system.kill("store-1");
-    CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, "t2", "t1").status);
+    CPPUNIT_ASSERT_EQUAL(200, turn_with_retries(system, "t2", "t1").status);
   }
 
-  void retired_store_hands_its_place_to_a_spare() {
+  void spare_replaces_a_retired_store() {
     service_deployment system;
     system.start_all();
     system.add_store("store-4");
@@ -106,14 +107,14 @@
     system.turn("gateway-1", "t1", "", "one ");
     system.put_object("retirements", "store-1", {{"durationS", 8}});
     wait_retired(system, "store-1");
-    CPPUNIT_ASSERT(!votes(system, "store-1"));
+    CPPUNIT_ASSERT(!is_voter(system, "store-1"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, system.group()["voters"].size());
     system.kill("store-1");
     system.kill("store-2");
-    CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, "t2", "t1").status);
+    CPPUNIT_ASSERT_EQUAL(200, turn_with_retries(system, "t2", "t1").status);
   }
 
-  void retired_store_leaves_a_smaller_group_without_a_spare() {
+  void group_shrinks_when_a_store_retires_without_a_spare() {
     service_deployment system;
     system.start_all();
     system.kill("store-3");
@@ -123,14 +124,14 @@
     wait_retired(system, "store-1");
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, system.group()["voters"].size());
     system.kill("store-1");
-    CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, "t2", "t1").status);
-    // The turn was never at store-3; it must be there now.
+    CPPUNIT_ASSERT_EQUAL(200, turn_with_retries(system, "t2", "t1").status);
+    // store-3 missed the turn while it was down and must have read it since.
     system.kill("store-2");
     system.replace_disk("store-2");
-    CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, "t3", "t1").status);
+    CPPUNIT_ASSERT_EQUAL(200, turn_with_retries(system, "t3", "t1").status);
   }
 
-  void group_survives_lost_answers_of_the_platform() {
+  void group_survives_lost_responses_of_the_platform() {
     service_deployment system;
     system.start_all();
     system.turn("gateway-1", "t1", "", "one ");
@@ -141,18 +142,18 @@
                [&] { return system.group()["epoch"] > group["epoch"]; });
     wait_counting(system);
     system.kill("store-2");
-    CPPUNIT_ASSERT_EQUAL(200, turn_at_last(system, "t2", "t1").status);
+    CPPUNIT_ASSERT_EQUAL(200, turn_with_retries(system, "t2", "t1").status);
   }
 
-  void without_a_quorum_a_turn_is_refused_and_does_not_run() {
+  void turn_without_a_quorum_is_rejected_and_does_not_run() {
     service_deployment system;
     system.start_all();
     system.kill("store-1");
     system.kill("store-2");
-    const http_answer answer = system.turn("gateway-1", "t1", "", "one");
+    const http_answer response = system.turn("gateway-1", "t1", "", "one");
 
-    CPPUNIT_ASSERT_EQUAL(503, answer.status);
-    TRAYROCK_CHECK(answer.headers.contains("retry-after"),
+    CPPUNIT_ASSERT_EQUAL(503, response.status);
+    TRAYROCK_CHECK(response.headers.contains("retry-after"),
                    "expected Retry-After, seen none");
     CPPUNIT_ASSERT_EQUAL(0, system.runs("t1"));
   }
@@ -161,16 +162,16 @@
   std::string next_attempt() { return "n" + std::to_string(++attempts_); }
   std::string last_attempt() const { return "n" + std::to_string(attempts_); }
 
-  // A turn as a client sends it: again after a promise that it has not run.
-  static http_answer turn_at_last(service_deployment& system,
-                                  const std::string& attempt,
-                                  const std::string& previous) {
-    http_answer answer;
+  // Sends a turn and retries it while the response is 503: it has not run then.
+  static http_answer turn_with_retries(service_deployment& system,
+                                       const std::string& attempt,
+                                       const std::string& previous) {
+    http_answer response;
     wait_until("turn " + attempt + " is served or ends", [&] {
-      answer = system.turn("gateway-1", attempt, previous, "on ");
-      return answer.status != 503;
+      response = system.turn("gateway-1", attempt, previous, "on ");
+      return response.status != 503;
     });
-    return answer;
+    return response;
   }
 
   static void check_body(service_deployment& system, const std::string& attempt,
@@ -180,7 +181,7 @@
                    "expected " << begins << ", seen " << body);
   }
 
-  static bool votes(service_deployment& system, const std::string& box) {
+  static bool is_voter(service_deployment& system, const std::string& box) {
     const json group = system.group();
     for (const json& each : group["voters"]) {
       if (each["box"] == box) {
@@ -195,7 +196,7 @@
                [&] { return system.group()["voters"].size() == count; });
   }
 
-  // Every voter of the present group has read all that it must hold.
+  // Waits until every voter of the current group has read all required records.
   static void wait_counting(service_deployment& system) {
     wait_until("every voter counts", [&] {
       const json group = system.group();
--- a/test/volatile_disk.h
+++ b/test/volatile_disk.h
@@ -1,5 +1,5 @@
-// A disk whose power can be cut: what was synced stays, of the rest each write
-// is there, missing or torn, by lot.
+// Simulated disk that loses power: synced data stays; each unsynced write is
+// randomly kept, lost or torn.
 #pragma once
 
 #include <map>
@@ -10,11 +10,11 @@
 
 namespace trayrock::testing {
 
-// One file: what is synced, and the writes behind that.
-struct volatile_content {
+// Content of a file: the synced bytes and the unsynced writes after them.
+struct file_content {
   std::string synced;
   std::vector<std::string> unsynced;
-  bool lasts = false;  // was synced once
+  bool durable = false;  // was synced at least once
 
   std::string all() const {
     std::string whole = synced;
@@ -24,15 +24,16 @@
     return whole;
   }
 };
-using volatile_content_ptr = std::shared_ptr<volatile_content>;
+using file_content_ptr = std::shared_ptr<file_content>;
 
-// Counts the calls that change the disk, and stops taking them at a chosen one.
+// Counts the calls that change the disk, and turns the power off at a chosen
+// one.
 struct power_switch {
-  int calls_left = -1;  // -1: no end
+  int calls_left = -1;  // -1: unlimited
   bool off = false;
 
-  // False once the power is gone.
-  bool use() {
+  // Returns false once the power is off.
+  bool record_call() {
     if (calls_left == 0) {
       off = true;
     }
@@ -43,21 +44,21 @@
 
 class volatile_file final : public disk_file {
  public:
-  volatile_file(volatile_content_ptr content, power_switch& power)
+  volatile_file(file_content_ptr content, power_switch& power)
       : content_(std::move(content)), power_(power) {}
 
   std::error_code append(std::string_view bytes) override {
-    if (power_.use()) {
+    if (power_.record_call()) {
       content_->unsynced.emplace_back(bytes);
     }
     return {};
   }
 
   std::error_code sync() override {
-    if (power_.use()) {
+    if (power_.record_call()) {
       content_->synced = content_->all();
       content_->unsynced.clear();
-      content_->lasts = true;
+      content_->durable = true;
     }
     return {};
   }
@@ -71,7 +72,7 @@
   result<std::string> read_all() const override { return content_->all(); }
 
  private:
-  volatile_content_ptr content_;
+  file_content_ptr content_;
   power_switch& power_;
 };
 
@@ -81,18 +82,18 @@
 
   power_switch& power() { return power_; }
 
-  // The power is back; each file is as a loss of power may leave it.
+  // Turns the power on; each file is in a state that a power loss may leave.
   void restore() {
     power_ = {};
-    std::map<std::string, volatile_content_ptr> after;
+    std::map<std::string, file_content_ptr> after;
     for (const auto& [name, content] : files_) {
-      if (content->lasts || chance()) {
-        after[name] = left_of(*content);
+      if (content->durable || random_bool()) {
+        after[name] = after_power_loss(*content);
       }
     }
     for (const auto& [name, content] : removed_) {
-      if (chance()) {
-        after[name] = left_of(*content);
+      if (random_bool()) {
+        after[name] = after_power_loss(*content);
       }
     }
     files_ = std::move(after);
@@ -111,8 +112,8 @@
     if (files_.contains(name)) {
       return std::make_error_code(std::errc::file_exists);
     }
-    auto made = std::make_shared<volatile_content>();
-    if (power_.use()) {
+    auto made = std::make_shared<file_content>();
+    if (power_.record_call()) {
       files_[name] = made;
     }
     return std::unique_ptr<disk_file>(
@@ -126,7 +127,7 @@
   }
 
   std::error_code remove(const std::string& name) override {
-    if (power_.use()) {
+    if (power_.record_call()) {
       removed_[name] = files_.at(name);
       files_.erase(name);
     }
@@ -135,15 +136,14 @@
 
   void put(const std::string& name, const std::string& bytes) {
     files_[name] =
-        std::make_shared<volatile_content>(volatile_content{bytes, {}, true});
+        std::make_shared<file_content>(file_content{bytes, {}, true});
   }
 
  private:
-  bool chance() { return random_() % 2 == 0; }
+  bool random_bool() { return random_() % 2 == 0; }
 
-  // Each write behind the last sync is there, missing (its place reads as
-  // zeros if a later one is there) or torn.
-  volatile_content_ptr left_of(const volatile_content& content) {
+  // Each write after the last sync is kept, lost (it reads as zeros) or torn.
+  file_content_ptr after_power_loss(const file_content& content) {
     std::string bytes = content.synced;
     for (const std::string& each : content.unsynced) {
       switch (random_() % 3) {
@@ -159,14 +159,14 @@
           break;
       }
     }
-    return std::make_shared<volatile_content>(
-        volatile_content{bytes, {}, true});
+    return std::make_shared<file_content>(file_content{bytes, {}, true});
   }
 
   mutable power_switch power_;
   std::mt19937_64 random_;
-  std::map<std::string, volatile_content_ptr> files_;
-  std::map<std::string, volatile_content_ptr> removed_;  // not for good
+  std::map<std::string, file_content_ptr> files_;
+  // Removed files, which may reappear after a power loss.
+  std::map<std::string, file_content_ptr> removed_;
 };
 
 }  // namespace trayrock::testing
