--- a/include/trayrock/internal/records/permit_client.h
+++ b/include/trayrock/internal/records/permit_client.h
@@ -8,7 +8,7 @@
 // Example:
 //   permit_client permits(loop, pool, records, metrics, "north");
 //   permits.acquire({"growers", limit, permit_use::regular}, milliseconds(500),
-//                   [](const permit_answer& reply) { ... });
+//                   [](const permit_result& reply) { ... });
 //   permits.give_back(permit);  // the request was not run
 #pragma once
 
@@ -27,7 +27,7 @@
 
 namespace trayrock {
 
-struct permit_wish {
+struct permit_request {
   std::string workspace;
   request_limit limit;
   permit_use use = permit_use::regular;
@@ -40,11 +40,11 @@
 };
 // No store replied in time.
 struct permit_unknown {};
-using permit_answer = std::variant<permit, limit_reached, permit_unknown>;
+using permit_result = std::variant<permit, limit_reached, permit_unknown>;
 
 class permit_client {
  public:
-  using acquire_callback = std::function<void(const permit_answer&)>;
+  using acquire_callback = std::function<void(const permit_result&)>;
 
   // All references must outlive the object.
   permit_client(event_loop& loop, rpc_pool& pool, record_client& records,
@@ -57,7 +57,7 @@
 
   // Calls back once, possibly before returning. The callback must keep what it
   // uses alive.
-  void acquire(permit_wish wish, milliseconds limit, acquire_callback done);
+  void acquire(permit_request wish, milliseconds limit, acquire_callback done);
 
   // Returns a permit whose request was not run and will not be. It is sent to
   // the store with the next request for the workspace.
@@ -66,7 +66,7 @@
  private:
   struct operation;
   void adopt_group();
-  records::PermitRequest request_for(const permit_wish& wish,
+  records::PermitRequest request_for(const permit_request& wish,
                                      const records::Store& store);
 
   event_loop& loop_;
--- a/include/trayrock/internal/records/record_client.h
+++ b/include/trayrock/internal/records/record_client.h
@@ -49,7 +49,7 @@
 
   // Detects that neither stores nor relays reply. Other clients may report
   // replies that they receive (decide/isolation_detector.h).
-  isolation_detector& contact() { return connectivity_.isolation; }
+  isolation_detector& isolation() { return connectivity_.isolation; }
 
   // Adopts a group unless a newer one is known.
   void adopt(const records::Group& group);
--- a/include/trayrock/internal/records/record_book.h
+++ b/include/trayrock/internal/records/record_index.h
@@ -7,7 +7,7 @@
 // another store can resume reading from a position.
 //
 // Example:
-//   record_book book(read_from_disk);
+//   record_index book(read_from_disk);
 //   if (book.add(record, now)) write_to_disk(record);  // then book.durable()
 //   book.usage("program-1");
 //   book.chain("attempt-3").text;
@@ -42,7 +42,7 @@
   std::string endpoint;  // that produced the turn's output
 };
 
-class record_book {
+class record_index {
  public:
   using record_reader =
       std::function<std::optional<records::Record>(const std::string& key)>;
@@ -54,7 +54,7 @@
     std::string key;
   };
 
-  explicit record_book(record_reader read_disk)
+  explicit record_index(record_reader read_disk)
       : read_disk_(std::move(read_disk)) {}
 
   // Returns false if the record is stored already or has no kind.
--- a/include/trayrock/internal/records/record_server.h
+++ b/include/trayrock/internal/records/record_server.h
@@ -21,8 +21,8 @@
 
 #include "trayrock/internal/metrics.h"
 #include "trayrock/internal/net/rpc.h"
-#include "trayrock/internal/records/record_book.h"
 #include "trayrock/internal/records/record_disk.h"
+#include "trayrock/internal/records/record_index.h"
 
 namespace trayrock {
 
@@ -42,7 +42,7 @@
   void start(std::function<void()> started);
 
   const records::StoreState& state() const { return state_; }
-  record_book& index() { return index_; }
+  record_index& index() { return index_; }
   std::uint64_t log() const { return log_; }
 
   // Adopts a group unless it is older; calls back once it is on disk.
@@ -101,7 +101,7 @@
   rpc_server& server_;
   std::unique_ptr<record_disk> disk_;
   metrics_registry& metrics_;
-  record_book index_;
+  record_index index_;
   records::StoreState state_;
   std::uint64_t log_ = 0;
   bool disk_failed_ = false;
--- a/include/trayrock/internal/records/store_calls.h
+++ b/include/trayrock/internal/records/store_calls.h
@@ -31,8 +31,8 @@
 // Relays for calls to a store that cannot be reached directly.
 struct relay_source {
   std::function<std::string()> pick;  // address of a relay; empty: none
-  std::function<void(const std::string&, relay_failure)> failed;
-  std::function<void(const std::string&)> passed_on;
+  std::function<void(const std::string&, relay_failure)> on_failure;
+  std::function<void(const std::string&)> on_success;
   // A store that has not replied to any call for this long may be unreachable,
   // and is called through a relay as well. A store that is only slow still
   // replies to some calls; calling it twice would make it slower.
--- a/src/records/store_calls.cc
+++ b/src/records/store_calls.cc
@@ -116,8 +116,8 @@
   const relay_source& relays = connectivity_.relays;
   if (reply) {
     connectivity_.record_reply(id, true);
-    if (relays.passed_on) {
-      relays.passed_on(via);
+    if (relays.on_success) {
+      relays.on_success(via);
     }
   } else {
     // An empty reply means that the relay cannot reach the store.
@@ -125,8 +125,8 @@
     if (relay_replied) {
       connectivity_.isolation.on_reply();
     }
-    relays.failed(via, relay_replied ? relay_failure::store_unreachable
-                                     : relay_failure::no_reply);
+    relays.on_failure(via, relay_replied ? relay_failure::store_unreachable
+                                         : relay_failure::no_reply);
   }
   on_reply_(id, std::move(reply));
 }
--- a/test/permit_client_test.cc
+++ b/test/permit_client_test.cc
@@ -55,7 +55,7 @@
                         [](const std::string&, relay_failure) {},
                         [](const std::string&) {}});
 
-    const permit_answer reply = acquire(loop, permits);
+    const permit_result reply = acquire(loop, permits);
 
     CPPUNIT_ASSERT(std::holds_alternative<permit>(reply));
     CPPUNIT_ASSERT_EQUAL(std::string("growers"), relayed_workspace);
@@ -87,7 +87,7 @@
     records.adopt(group_at(local(ports[0]), 1));
     permit_client permits(loop, pool, records, metrics, "dc-0");
 
-    const permit_answer reply = acquire(loop, permits);
+    const permit_result reply = acquire(loop, permits);
 
     CPPUNIT_ASSERT(std::holds_alternative<permit>(reply));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, records.group().epoch());
@@ -108,10 +108,10 @@
     return made;
   }
 
-  static permit_answer acquire(event_loop& loop, permit_client& permits) {
-    std::optional<permit_answer> received;
+  static permit_result acquire(event_loop& loop, permit_client& permits) {
+    std::optional<permit_result> received;
     permits.acquire({"growers", {10, 10, 1}, permit_use::regular},
-                    milliseconds(1500), [&](const permit_answer& reply) {
+                    milliseconds(1500), [&](const permit_result& reply) {
                       received = reply;
                       loop.stop();
                     });
--- a/test/record_client_test.cc
+++ b/test/record_client_test.cc
@@ -241,7 +241,7 @@
     std::string picked = unreachable_address;
     relay_source relays;
     relays.pick = [&] { return picked; };
-    relays.failed = [&](const auto&...) { picked = reachable_address; };
+    relays.on_failure = [&](const auto&...) { picked = reachable_address; };
     client_->use_relays(relays);
     client_->adopt(group);
     CPPUNIT_ASSERT_EQUAL(std::error_code(), keep(turn("t1", "", "one")));
--- a/test/record_book_test.cc
+++ b/test/record_index_test.cc
@@ -1,5 +1,5 @@
 // Index of a record store: adding, reading and expiry of records.
-#include "trayrock/internal/records/record_book.h"
+#include "trayrock/internal/records/record_index.h"
 
 #include <map>
 
@@ -136,7 +136,7 @@
  private:
   std::map<std::string, records::Record> disk_;
   int reads_ = 0;
-  record_book index_{[this](const std::string& key) {
+  record_index index_{[this](const std::string& key) {
     ++reads_;
     return std::optional<records::Record>(disk_.at(key));
   }};
