--- a/include/trayrock/internal/records/chain_reader.h
+++ b/include/trayrock/internal/records/chain_reader.h
@@ -9,8 +9,8 @@
 // Example:
 //   chain_reader chain("attempt-7");
 //   chain.on_text_requested(nearest);
-//   if (chain.add_reply(nearest, reply)) { ... }  // query all for
-//   chain.wanted() if (chain.complete()) { use(chain.release_text()); }
+//   if (chain.add_reply(nearest, reply)) query_all(chain.wanted());
+//   if (chain.complete()) use(chain.release_text());
 #pragma once
 
 #include <set>
--- a/include/trayrock/internal/records/permit_client.h
+++ b/include/trayrock/internal/records/permit_client.h
@@ -57,7 +57,8 @@
 
   // Calls back once, possibly before returning. The callback must keep what it
   // uses alive.
-  void acquire(permit_request wish, milliseconds limit, acquire_callback done);
+  void acquire(permit_request request, milliseconds limit,
+               acquire_callback done);
 
   // Returns a permit whose request was not run and will not be. It is sent to
   // the store with the next request for the workspace.
@@ -66,7 +67,7 @@
  private:
   struct operation;
   void adopt_group();
-  records::PermitRequest request_for(const permit_request& wish,
+  records::PermitRequest request_for(const permit_request& request,
                                      const records::Store& store);
 
   event_loop& loop_;
--- a/include/trayrock/internal/records/record_index.h
+++ b/include/trayrock/internal/records/record_index.h
@@ -7,10 +7,10 @@
 // another store can resume reading from a position.
 //
 // Example:
-//   record_index book(read_from_disk);
-//   if (book.add(record, now)) write_to_disk(record);  // then book.durable()
-//   book.usage("program-1");
-//   book.chain("attempt-3").text;
+//   record_index index(read_from_disk);
+//   if (index.add(record, now)) write_to_disk(record);  // then index.durable()
+//   index.usage("program-1");
+//   index.chain("attempt-3").text;
 #pragma once
 
 #include <cstdint>
@@ -63,7 +63,8 @@
   // As above, for a record that is on disk already.
   bool add_durable(const records::Record& record, std::uint64_t now_ms);
 
-  // The record of this key is on disk now.
+  // To be called once the record of this key is on disk; its text is then no
+  // longer kept in memory.
   void durable(const std::string& key) { pending_.erase(key); }
 
   bool has(const std::string& key) const;
--- a/include/trayrock/internal/records/segment_log.h
+++ b/include/trayrock/internal/records/segment_log.h
@@ -15,8 +15,10 @@
 // Example:
 //   auto log = segment_log::open(files, visit);
 //   auto locations = log.value()->append(changes);
-//   if (locations && !log.value()->sync()) log.value()->add_to_index(changes,
-//   locations); log.value()->read("t/a1");
+//   if (locations && !log.value()->sync()) {
+//     log.value()->add_to_index(changes, locations.value());
+//   }
+//   log.value()->read("t/a1");
 #pragma once
 
 #include <cstdint>
--- a/include/trayrock/internal/records/store_membership_driver.h
+++ b/include/trayrock/internal/records/store_membership_driver.h
@@ -4,7 +4,7 @@
 //
 // Example:
 //   store_membership_driver membership(loop, server, pool, registry, settings);
-//   membership.start();  // once the server knows its id
+//   membership.start();  // once the server has its id
 #pragma once
 
 #include <cstdint>
@@ -72,8 +72,8 @@
   bool reported_running_ = false;
   bool reporting_ = false;
   std::uint64_t started_ms_ = 0;
-  std::uint64_t next_creation_ms_ =
-      0;  // next attempt to create the first group
+  // Next attempt to create the first group.
+  std::uint64_t next_creation_ms_ = 0;
   std::uint64_t backoff_until_ms_ = 0;
   std::uint64_t vacant_since_ms_ = 0;  // 0: no vacancy
   timer tick_timer_;
--- a/include/trayrock/internal/records/store_reader.h
+++ b/include/trayrock/internal/records/store_reader.h
@@ -10,7 +10,7 @@
 //   reader.follow_group();  // at every tick
 //   reader.pull_due();
 //   if (reader.joining()) reader.fence_previous_voters();
-//   if (reader.peers().joined(server.state())) server.set_counts(true);
+//   if (reader.peers().has_joined(server.state())) server.set_counts(true);
 #pragma once
 
 #include <cstdint>
--- a/src/records/permit_client.cc
+++ b/src/records/permit_client.cc
@@ -28,12 +28,14 @@
 // One request for a permit, tried at one store after another.
 struct permit_client::operation
     : std::enable_shared_from_this<permit_client::operation> {
-  operation(permit_client& client_in, permit_request wish_in,
+  operation(permit_client& client_in, permit_request request_in,
             acquire_callback done_in)
-      : client(client_in), wish(std::move(wish_in)), done(std::move(done_in)) {}
+      : client(client_in),
+        request(std::move(request_in)),
+        done(std::move(done_in)) {}
 
   permit_client& client;
-  permit_request wish;
+  permit_request request;
   acquire_callback done;
   std::set<std::string> tried;  // in this round
   bool relayed = false;         // this round goes through relays
@@ -45,7 +47,7 @@
   void step() {
     client.adopt_group();
     const permit_source next = client.sources_.next(
-        wish.workspace, wish.use, tried, client.loop_.now_ms());
+        request.workspace, request.use, tried, client.loop_.now_ms());
     std::visit([this](const auto& each) { act(each); }, next);
   }
 
@@ -76,7 +78,7 @@
 
   void call_store(const records::Store& to) {
     call = client.pool_.ask<records::PermitReply>(
-        to.address(), "Permit", client.request_for(wish, to), store_timeout,
+        to.address(), "Permit", client.request_for(request, to), store_timeout,
         [self = shared_from_this(),
          store = to.id()](const result<records::PermitReply>& reply) {
           self->on_direct_reply(store, reply);
@@ -103,11 +105,11 @@
       call_store(to);
       return;
     }
-    records::RelayRequest request;
-    request.set_address(to.address());
-    *request.mutable_permit() = client.request_for(wish, to);
+    records::RelayRequest relayed_request;
+    relayed_request.set_address(to.address());
+    *relayed_request.mutable_permit() = client.request_for(request, to);
     call = client.pool_.ask<records::PermitReply>(
-        via, "Relay", request, relay_timeout,
+        via, "Relay", relayed_request, relay_timeout,
         [self = shared_from_this(), via,
          store = to.id()](const result<records::PermitReply>& reply) {
           if (!reply) {
@@ -139,10 +141,10 @@
     }
     client.sources_.on_reply(store);
     if (reply.value().given()) {
-      finish(permit{wish.workspace, store, reply.value().slot()});
+      finish(permit{request.workspace, store, reply.value().slot()});
       return;
     }
-    client.sources_.on_refusal(wish.workspace, wish.use, store,
+    client.sources_.on_refusal(request.workspace, request.use, store,
                                milliseconds(reply.value().next_ms()), now);
     step();
   }
@@ -186,17 +188,17 @@
   sources_.set_stores(std::move(stores));
 }
 
-records::PermitRequest permit_client::request_for(const permit_request& wish,
+records::PermitRequest permit_client::request_for(const permit_request& request,
                                                   const records::Store& store) {
   records::PermitRequest made;
   made.set_store(store.id());
   made.set_epoch(records_.group().epoch());
-  made.set_workspace(wish.workspace);
-  made.set_configuration(wish.limit.configuration);
-  made.set_per_second(wish.limit.per_second);
-  made.set_burst(wish.limit.burst);
-  made.set_starts_program(wish.use == permit_use::starts_program);
-  const auto unused = unused_slots_.find({store.id(), wish.workspace});
+  made.set_workspace(request.workspace);
+  made.set_configuration(request.limit.configuration);
+  made.set_per_second(request.limit.per_second);
+  made.set_burst(request.limit.burst);
+  made.set_starts_program(request.use == permit_use::starts_program);
+  const auto unused = unused_slots_.find({store.id(), request.workspace});
   if (unused != unused_slots_.end()) {
     made.mutable_given_back()->Add(unused->second.begin(),
                                    unused->second.end());
@@ -205,10 +207,10 @@
   return made;
 }
 
-void permit_client::acquire(permit_request wish, milliseconds limit,
+void permit_client::acquire(permit_request request, milliseconds limit,
                             acquire_callback done) {
   const auto made =
-      std::make_shared<operation>(*this, std::move(wish), std::move(done));
+      std::make_shared<operation>(*this, std::move(request), std::move(done));
   const std::weak_ptr<operation> weak = made;
   made->limit = loop_.after(limit, [weak] {
     if (const auto self = weak.lock()) {
--- a/src/records/permit_server.cc
+++ b/src/records/permit_server.cc
@@ -102,17 +102,17 @@
   for (const std::uint64_t slot : request.given_back()) {
     limiter_.give_back(request.workspace(), slot);
   }
-  const permit_verdict said = limiter_.acquire(
+  const permit_verdict verdict = limiter_.acquire(
       request.workspace(),
       {request.per_second(), request.burst(), request.configuration()},
       request.starts_program() ? permit_use::starts_program
                                : permit_use::regular,
       loop_.now_ms());
-  if (const auto* given = std::get_if<permit_given>(&said)) {
+  if (const auto* given = std::get_if<permit_given>(&verdict)) {
     message.set_given(true);
     message.set_slot(given->slot);
   } else {
-    const auto next = std::get<permit_refused>(said).next;
+    const auto next = std::get<permit_refused>(verdict).next;
     message.set_next_ms(static_cast<std::uint32_t>(next.count()));
   }
 }
--- a/test/record_index_test.cc
+++ b/test/record_index_test.cc
@@ -32,8 +32,8 @@
   return made;
 }
 
-class record_book_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(record_book_test);
+class record_index_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(record_index_test);
   CPPUNIT_TEST(record_is_added_once);
   CPPUNIT_TEST(chain_is_joined_from_the_oldest_turn);
   CPPUNIT_TEST(chain_with_a_gap_names_the_missing_turn);
@@ -142,7 +142,7 @@
   }};
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(record_book_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(record_index_test);
 
 }  // namespace
 }  // namespace trayrock::testing
