--- a/test/permit_load_test.cc
+++ b/test/permit_load_test.cc
@@ -4,7 +4,7 @@
 //
 // Twenty gateways receive 0.6 times the limit of one workspace, 1.7 times that
 // in a burst and seven times that in a hot phase. One gateway receives half of
-// the requests, since clients reuse connections. A counter_type process is
+// the requests, since clients reuse connections. A counting process is
 // killed, another one is replaced, and finally all lose power at once.
 //
 //   own_share     each gateway counts a twentieth of the limit by itself
--- a/test/store_group_model_test.cc
+++ b/test/store_group_model_test.cc
@@ -1,6 +1,5 @@
 // Checks the decision code of the record stores' group over many seeded runs of
-// a simulation with faults
-// (store_group_simulation.h).
+// a simulation with faults (store_group_simulation.h).
 //
 // Invariants: a read quorum never denies an acknowledged record, and of two
 // acknowledged reservations at least one sees the other. Each rule of the
