--- a/src/gateway/gateway_main.cc
+++ b/src/gateway/gateway_main.cc
@@ -13,7 +13,7 @@
 
 using namespace trayrock;
 
-// Memory for the texts of recent chains; several seconds' worth of turns.
+// Bounds the texts of recent chains; enough for several seconds of turns.
 constexpr std::size_t chain_cache_bytes = 3U << 19;
 
 std::uint64_t reconnect_ms(const gateway_settings& settings) {
